--- a/packages/command/src/explain-command.ts
+++ b/packages/command/src/explain-command.ts
@@ -11,7 +11,7 @@
 import { readFile } from "node:fs/promises";
 import { openClient } from "./client.js";
 import { addressOf, instanceArgs, jsonArg } from "./common-args.js";
-import { explanationText } from "./explanation-text.js";
+import { formatExplanation } from "./explanation-text.js";
 import { exitCodes, InvalidInputError, reportingFailure } from "./failure.js";
 import { table, writeJson, writeLine } from "./output.js";
 import { replay } from "./replay.js";
@@ -35,7 +35,7 @@
                 writeJson(toJson(ExplanationSchema, explanation));
             }
             else {
-                writeLine(explanationText(explanation, instance));
+                writeLine(formatExplanation(explanation, instance));
             }
             return exitCodes.done;
         }),
--- a/packages/command/src/explanation-text.ts
+++ b/packages/command/src/explanation-text.ts
@@ -8,7 +8,7 @@
 import { formatCount, formatMs, paint, table } from "./output.js";
 
 /** Writes an explanation as text. */
-export const explanationText = (explanation: Explanation, instance: string): string =>
+export const formatExplanation = (explanation: Explanation, instance: string): string =>
     [
         ...headLines(explanation, instance),
         "",
--- a/packages/command/src/index.ts
+++ b/packages/command/src/index.ts
@@ -4,7 +4,7 @@
  * @packageDocumentation
  */
 
-export { explanationText } from "./explanation-text.js";
+export { formatExplanation } from "./explanation-text.js";
 export { exitCodes } from "./failure.js";
 export { runCommandProgram } from "./program.js";
 export { references } from "./reference-command.js";
--- a/packages/command/src/replay.ts
+++ b/packages/command/src/replay.ts
@@ -83,6 +83,6 @@
         upstreams: step.candidates.map(candidate => candidate as unknown as UpstreamFacts),
         tried: step.tried,
         draws: step.draws,
-        turn: step.turn,
+        sequence: step.turn,
     };
 };
--- a/packages/command/src/scenario.ts
+++ b/packages/command/src/scenario.ts
@@ -8,15 +8,15 @@
     booleanKey,
     checkDocument,
     choiceKey,
+    IniDocument,
     InvalidDocumentError,
-    LocatedIni,
     namePattern,
     numberKey,
     optionalSection,
     textKey,
 } from "@harrierhitch/configuration";
 import { SeededRandom } from "@harrierhitch/core";
-import { bestTime, type DecisionInput, drawNumbers, mayBeChosen, roomAtBest } from "@harrierhitch/decision";
+import { type DecisionInput, drawNumbers, headroomAtBest, isEligible, minExpectedTime } from "@harrierhitch/decision";
 import * as z from "zod";
 
 const text = (description: string, defaultValue: string) => textKey({ description, defaultValue });
@@ -101,7 +101,7 @@
  * @throws InvalidDocumentError with all findings.
  */
 export const readScenario = (file: string, content: string, seed: number): DecisionInput => {
-    const checked = checkDocument(LocatedIni.read(file, content), scenarioSchema);
+    const checked = checkDocument(IniDocument.parse(file, content), scenarioSchema);
     if (checked.value === undefined) {
         throw new InvalidDocumentError(checked.findings);
     }
@@ -111,15 +111,15 @@
         request,
         service: {
             ...service,
-            candidates: upstreams.filter(mayBeChosen).length,
-            bestTime: bestTime(upstreams, []),
-            ...roomAtBest(upstreams, []),
+            candidates: upstreams.filter(isEligible).length,
+            bestTime: minExpectedTime(upstreams, []),
+            ...headroomAtBest(upstreams, []),
             askable: upstreams.length,
             upstreams: upstreams.length,
         },
         upstreams,
         tried: [],
         draws: drawNumbers(new SeededRandom(seed)),
-        turn: 1,
+        sequence: 1,
     };
 };
--- a/packages/command/src/try-command.ts
+++ b/packages/command/src/try-command.ts
@@ -7,8 +7,8 @@
 import {
     checkDocument,
     checkPolicies,
+    IniDocument,
     InvalidDocumentError,
-    LocatedIni,
     policySectionsSchema,
     type ServicePolicy,
 } from "@harrierhitch/configuration";
@@ -76,7 +76,7 @@
  * @throws InvalidDocumentError with all findings, or {@link InvalidInputError} when the name is missing.
  */
 export const readPolicy = (file: string, text: string, name: string | undefined): ServicePolicy => {
-    const document = LocatedIni.read(file, text);
+    const document = IniDocument.parse(file, text);
     const checked = checkDocument(document, z.object({ policy: policySectionsSchema }));
     if (checked.value === undefined) {
         throw new InvalidDocumentError(checked.findings);
--- a/packages/configuration/src/check.ts
+++ b/packages/configuration/src/check.ts
@@ -7,11 +7,11 @@
 import { distance } from "fastest-levenshtein";
 import type { z } from "zod";
 import type { Finding } from "./finding.js";
-import type { LocatedIni } from "./located-ini.js";
+import type { IniDocument } from "./ini-document.js";
 import { unwrapSchema } from "./unwrap-schema.js";
 
 /** The result of a check: the value, or what is wrong. */
-export type Checked<Value> = { readonly value: Value; readonly findings: readonly []; } | {
+export type CheckResult<Value> = { readonly value: Value; readonly findings: readonly []; } | {
     readonly value: undefined;
     readonly findings: readonly Finding[];
 };
@@ -26,12 +26,12 @@
  * @returns The value, or all findings.
  */
 export const checkDocument = <Schema extends z.ZodObject>(
-    document: LocatedIni,
+    document: IniDocument,
     schema: Schema,
-): Checked<z.output<Schema>> => {
+): CheckResult<z.output<Schema>> => {
     const result = schema.safeParse(document.values);
     const findings = [
-        ...document.mistakes,
+        ...document.syntaxFindings,
         ...(result.error?.issues ?? []).flatMap(issue => toFindings(document, schema, issue)),
     ];
     return result.success && findings.length === 0
@@ -39,7 +39,7 @@
         : { value: undefined, findings };
 };
 
-const toFindings = (document: LocatedIni, schema: z.ZodObject, issue: z.core.$ZodIssue): readonly Finding[] => {
+const toFindings = (document: IniDocument, schema: z.ZodObject, issue: z.core.$ZodIssue): readonly Finding[] => {
     const path = issue.path.map(String);
     if (issue.code === "unrecognized_keys") {
         const known = knownKeys(schema, path);
@@ -53,7 +53,7 @@
 };
 
 const unknownFinding = (
-    document: LocatedIni,
+    document: IniDocument,
     path: readonly string[],
     name: string,
     known: readonly string[],
--- a/packages/configuration/src/configuration.ts
+++ b/packages/configuration/src/configuration.ts
@@ -6,10 +6,10 @@
 
 import { type Generation, generation, type ServiceName, serviceName, upstreamId } from "@harrierhitch/core";
 import { createHash } from "node:crypto";
-import { checkDocument, type Checked } from "./check.js";
+import { checkDocument, type CheckResult } from "./check.js";
 import { configurationSchema, type ConfigurationValues } from "./configuration-schema.js";
 import type { Finding } from "./finding.js";
-import { LocatedIni } from "./located-ini.js";
+import { IniDocument } from "./ini-document.js";
 import type { Route, RouteGroup } from "./route.js";
 import { Router } from "./router.js";
 import { checkPolicies, type ServicePolicy } from "./service-policy.js";
@@ -36,7 +36,7 @@
     /** Policies that stand outside the document; its own go before them. */
     readonly policies?: ReadonlyMap<string, ServicePolicy>;
     /** Whether upstreams are listed apart from the configuration, so that a service may name none. */
-    readonly listsUpstreams?: boolean;
+    readonly discoversUpstreams?: boolean;
 }
 
 /**
@@ -49,8 +49,8 @@
  * @param text - The document's text.
  * @returns The configuration, or all findings.
  */
-export const checkConfiguration = (file: string, text: string): Checked<Configuration> =>
-    tooLarge(file, text) ?? checkSections(LocatedIni.read(file, text), lazyHashOf(text));
+export const checkConfiguration = (file: string, text: string): CheckResult<Configuration> =>
+    checkDocumentSize(file, text) ?? checkParsedConfiguration(IniDocument.parse(file, text), lazyDocumentHash(text));
 
 /**
  * Checks the sections of a configuration that was published in another syntax.
@@ -60,11 +60,11 @@
  * @param context - What the configuration may build on.
  * @returns The configuration, or all findings.
  */
-export const checkSections = (
-    document: LocatedIni,
+export const checkParsedConfiguration = (
+    document: IniDocument,
     hashOfText: () => string,
     context: ConfigurationContext = {},
-): Checked<Configuration> => {
+): CheckResult<Configuration> => {
     const checked = checkDocument(document, configurationSchema);
     if (checked.value === undefined) {
         return checked;
@@ -83,7 +83,7 @@
 };
 
 /** Says that a document is too large; `undefined` when it is not. */
-export const tooLarge = (file: string, text: string): Checked<never> | undefined => {
+export const checkDocumentSize = (file: string, text: string): CheckResult<never> | undefined => {
     if (Buffer.byteLength(text) <= maximumDocumentBytes) {
         return undefined;
     }
@@ -95,7 +95,7 @@
  * Gives the SHA-256 of a document's text in hexadecimal, worked out when it is first asked for: only other instances ask,
  * seconds after a start, and Node's cryptography takes a tenth of a start to load (29 of 333 ms, profiles of three starts).
  */
-export const lazyHashOf = (text: string): () => string => {
+export const lazyDocumentHash = (text: string): () => string => {
     let hash: string | undefined;
     return () => {
         hash ??= createHash("sha256").update(text).digest("hex");
@@ -103,7 +103,7 @@
     };
 };
 
-const addRoutes = (document: LocatedIni, configuration: Configuration): readonly Finding[] =>
+const addRoutes = (document: IniDocument, configuration: Configuration): readonly Finding[] =>
     configuration.routes.flatMap(route => {
         const section = `route.${route.name}`;
         const message = configuration.router.add(route);
@@ -112,9 +112,9 @@
     });
 
 const checkReferences = (
-    document: LocatedIni,
+    document: IniDocument,
     values: ConfigurationValues,
-    { listsUpstreams = false, policies }: ConfigurationContext,
+    { discoversUpstreams: listsUpstreams = false, policies }: ConfigurationContext,
 ): readonly Finding[] => {
     const finding = (section: string, key: string, message: string): Finding => {
         return { file: document.file, section, key, line: document.lineOf(section, key), message };
@@ -218,7 +218,7 @@
         const choices = parseDestinations(route.service).map(({ service, weight }) => {
             return { weight, route: toRoute(defined(services.get(serviceName(service)))) };
         });
-        return { name, method, host, path, choices };
+        return { name, method, host, path, destinations: choices };
     });
     const { fleet, callers } = values;
     return {
--- a/packages/configuration/src/index.ts
+++ b/packages/configuration/src/index.ts
@@ -5,18 +5,19 @@
  * @packageDocumentation
  */
 
-export { checkDocument, type Checked } from "./check.js";
+export { checkDocument, type CheckResult } from "./check.js";
 export { configurationSchema } from "./configuration-schema.js";
 export {
     checkConfiguration,
-    checkSections,
+    checkDocumentSize,
+    checkParsedConfiguration,
     type Configuration,
     type ConfigurationContext,
-    lazyHashOf,
+    lazyDocumentHash,
     maximumDocumentBytes,
-    tooLarge,
 } from "./configuration.js";
 export { type Finding, formatFinding } from "./finding.js";
+export { IniDocument, type IniValue } from "./ini-document.js";
 export { InvalidDocumentError } from "./invalid-document-error.js";
 export {
     booleanKey,
@@ -30,13 +31,12 @@
     parseEndpoint,
     textKey,
 } from "./key.js";
-export { type IniValue, LocatedIni } from "./located-ini.js";
 export { type ChooserName, chooserNames, policySectionsSchema } from "./policy-schema.js";
 export { referenceMarkdown } from "./reference.js";
-export { type Kind, pickRoute, type Route, type RouteGroup, type WeightedRoute } from "./route.js";
+export { type RequestKind, type Route, type RouteGroup, selectRoute, type WeightedRoute } from "./route.js";
 export { Router } from "./router.js";
 export { checkPolicies, checkPolicyFile, policyFileSchema, type ServicePolicy } from "./service-policy.js";
 export { type Service } from "./service.js";
 export { type Settings, settingsSchema } from "./settings-schema.js";
 export { checkSettings, isLoopback } from "./settings.js";
-export { type ListedUpstream, type Upstream } from "./upstream.js";
+export { type DiscoveredUpstream, type Upstream } from "./upstream.js";
--- a/packages/configuration/src/located-ini.ts
+++ b/packages/configuration/src/ini-document.ts
@@ -17,7 +17,7 @@
 const keyLine = /^\s*([^=;#[\s][^=]*?)\s*=/;
 
 /** An INI document with the lines of its sections and keys. */
-export class LocatedIni {
+export class IniDocument {
     private constructor(
         /** Name of the file, for findings. */
         readonly file: string,
@@ -25,7 +25,7 @@
         readonly values: Readonly<Record<string, IniValue>>,
         private readonly lines: ReadonlyMap<string, number>,
         /** Mistakes that the library would pass over: repeated keys, values cut by a comment sign. */
-        readonly mistakes: readonly Finding[],
+        readonly syntaxFindings: readonly Finding[],
     ) {}
 
     /**
@@ -34,7 +34,7 @@
      * @param file - Name of the file, for findings.
      * @param text - The document's text.
      */
-    static read(file: string, text: string): LocatedIni {
+    static parse(file: string, text: string): IniDocument {
         const lines = new Map<string, number>();
         const mistakes: Finding[] = [];
         let section = "";
@@ -60,7 +60,7 @@
                 }
             }
         });
-        return new LocatedIni(file, parse(text), lines, mistakes);
+        return new IniDocument(file, parse(text), lines, mistakes);
     }
 
     /**
@@ -69,8 +69,8 @@
      * @param file - Name of the file or key, for findings.
      * @param values - The values, as an INI document would give them.
      */
-    static of(file: string, values: Readonly<Record<string, IniValue>>): LocatedIni {
-        return new LocatedIni(file, values, new Map(), []);
+    static fromValues(file: string, values: Readonly<Record<string, IniValue>>): IniDocument {
+        return new IniDocument(file, values, new Map(), []);
     }
 
     /** The line of a key, else of its section, else `undefined`. */
--- a/packages/configuration/src/route.ts
+++ b/packages/configuration/src/route.ts
@@ -9,7 +9,7 @@
 import type { Service } from "./service.js";
 
 /** A kind of request. */
-export type Kind = Omit<ConfigurationValues["kind"][string], "policy"> & { readonly name: string; };
+export type RequestKind = Omit<ConfigurationValues["kind"][string], "policy"> & { readonly name: string; };
 
 /** A route to one service. */
 export interface Route {
@@ -17,7 +17,7 @@
     readonly method: ConfigurationValues["route"][string]["method"];
     readonly path: string;
     readonly service: Service;
-    readonly kind: Kind;
+    readonly kind: RequestKind;
     /** The policy that decides: the kind's, or else the service's. */
     readonly policy: ServicePolicy;
 }
@@ -36,7 +36,7 @@
     readonly host: string;
     readonly path: string;
     /** At least one. */
-    readonly choices: readonly WeightedRoute[];
+    readonly destinations: readonly WeightedRoute[];
 }
 
 /**
@@ -46,7 +46,7 @@
  * @param draw - A number of at least 0 and below 1; evenly spread draws give each service its share.
  * @returns The route to that service; `undefined` when every weight is 0.
  */
-export const pickRoute = ({ choices }: RouteGroup, draw: number): Route | undefined => {
+export const selectRoute = ({ destinations: choices }: RouteGroup, draw: number): Route | undefined => {
     const total = choices.reduce((sum, choice) => sum + choice.weight, 0);
     let left = draw * total;
     return choices.find(choice => (left -= choice.weight) < 0)?.route;
--- a/packages/configuration/src/service-policy.ts
+++ b/packages/configuration/src/service-policy.ts
@@ -6,10 +6,10 @@
 
 import { clauseNames, Policy, type PolicyCheckError, type PolicySource } from "@harrierhitch/policy";
 import * as z from "zod";
-import { checkDocument, type Checked } from "./check.js";
+import { checkDocument, type CheckResult } from "./check.js";
 import type { ConfigurationValues } from "./configuration-schema.js";
 import type { Finding } from "./finding.js";
-import { LocatedIni } from "./located-ini.js";
+import { IniDocument } from "./ini-document.js";
 import { type ChooserName, policySectionsSchema } from "./policy-schema.js";
 
 /** A policy in force, with the chooser it picks. */
@@ -31,7 +31,7 @@
 }
 
 /** Checks the policies of a document; gives those that pass, by name, and what is wrong with the others. */
-export const checkPolicies = (document: LocatedIni, values: ConfigurationValues["policy"]) => {
+export const checkPolicies = (document: IniDocument, values: ConfigurationValues["policy"]) => {
     const policies = new Map<string, ServicePolicy>();
     const findings = Object.entries(values).flatMap(([name, section]): readonly Finding[] => {
         const result = Policy.check(policySource(document, name, section));
@@ -54,8 +54,8 @@
  * @param text - The file's text.
  * @returns The policies by name, or all findings.
  */
-export const checkPolicyFile = (file: string, text: string): Checked<ReadonlyMap<string, ServicePolicy>> => {
-    const document = LocatedIni.read(file, text);
+export const checkPolicyFile = (file: string, text: string): CheckResult<ReadonlyMap<string, ServicePolicy>> => {
+    const document = IniDocument.parse(file, text);
     const checked = checkDocument(document, policyFileSchema);
     if (checked.value === undefined) {
         return checked;
@@ -65,7 +65,7 @@
 };
 
 const policySource = (
-    document: LocatedIni,
+    document: IniDocument,
     name: string,
     section: ConfigurationValues["policy"][string],
 ): PolicySource => {
@@ -77,7 +77,7 @@
     };
 };
 
-const policyFinding = (document: LocatedIni, error: PolicyCheckError): Finding => {
+const policyFinding = (document: IniDocument, error: PolicyCheckError): Finding => {
     const section = `policy.${error.policy}`;
     const line = document.lineOf(section, error.clause);
     return { file: document.file, section, key: error.clause, line, message: error.detail };
--- a/packages/configuration/src/settings.ts
+++ b/packages/configuration/src/settings.ts
@@ -4,10 +4,10 @@
  * @packageDocumentation
  */
 
-import { checkDocument, type Checked } from "./check.js";
+import { checkDocument, type CheckResult } from "./check.js";
 import type { Finding } from "./finding.js";
+import { IniDocument } from "./ini-document.js";
 import { parseEndpoint } from "./key.js";
-import { LocatedIni } from "./located-ini.js";
 import { type Settings, settingsSchema } from "./settings-schema.js";
 
 /**
@@ -17,8 +17,8 @@
  * @param text - The file's text.
  * @returns The settings, or all findings.
  */
-export const checkSettings = (file: string, text: string): Checked<Settings> => {
-    const document = LocatedIni.read(file, text);
+export const checkSettings = (file: string, text: string): CheckResult<Settings> => {
+    const document = IniDocument.parse(file, text);
     const checked = checkDocument(document, settingsSchema);
     if (checked.value === undefined) {
         return checked;
@@ -38,7 +38,7 @@
 });
 
 const tlsFindings = (
-    document: LocatedIni,
+    document: IniDocument,
     settings: Settings,
     section: "callers" | "operators" | "peers",
 ): readonly Finding[] => {
--- a/packages/configuration/src/upstream.ts
+++ b/packages/configuration/src/upstream.ts
@@ -17,10 +17,10 @@
 }
 
 /** An upstream that is listed apart from the configuration and comes and goes by itself. */
-export interface ListedUpstream extends Upstream {
+export interface DiscoveredUpstream extends Upstream {
     readonly service: ServiceName;
     /** Whether it has said that it leaves. */
-    readonly leaving: boolean;
+    readonly draining: boolean;
     /** Time for which it still answers slowly, counted from the moment it was listed. */
     readonly coldMs: number;
     /** When this start of it began, in milliseconds since the Unix epoch; 0 when it does not say. */
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -24,7 +24,7 @@
 } from "./ids.js";
 export { type Outcome } from "./outcome.js";
 export { type RandomSource } from "./random.js";
-export { rendezvous } from "./rendezvous.js";
+export { rendezvousOrder } from "./rendezvous.js";
 export { SeededRandom } from "./seeded-random.js";
 export { SystemClock, type SystemClockOptions } from "./system-clock.js";
 export { SystemRandom } from "./system-random.js";
--- a/packages/core/src/rendezvous.ts
+++ b/packages/core/src/rendezvous.ts
@@ -14,7 +14,7 @@
  * @param nodes - The nodes, in any order.
  * @param idOf - The id of a node.
  */
-export const rendezvous = <Node>(key: string, nodes: readonly Node[], idOf: (node: Node) => string): readonly Node[] => {
+export const rendezvousOrder = <Node>(key: string, nodes: readonly Node[], idOf: (node: Node) => string): readonly Node[] => {
     const weights = weightsFor(key);
     return nodes
         .map(node => ({ node, weight: weightOf(weights, key, idOf(node)) }))
--- a/packages/daemon/src/open-directory.ts
+++ b/packages/daemon/src/create-directory.ts
@@ -15,17 +15,20 @@
  * @param parts - Parts of the instance.
  * @param listeners - Who is told of changes.
  */
-export const openDirectory = (
-    { clock, syntax, log, metrics, doubtfulMs }: Pick<InstanceParts, "clock" | "syntax" | "log" | "metrics" | "doubtfulMs">,
-    listeners: Pick<UpstreamDirectoryOptions, "onChange" | "onZone" | "onDoubtEnded">,
+export const createDirectory = (
+    { clock, parser: syntax, log, metrics, removalGraceMs: doubtfulMs }: Pick<
+        InstanceParts,
+        "clock" | "parser" | "log" | "metrics" | "removalGraceMs"
+    >,
+    listeners: Pick<UpstreamDirectoryOptions, "onChange" | "onZoneChange" | "onRemovalConfirmed">,
 ): UpstreamDirectory =>
     new UpstreamDirectory({
         ...listeners,
         clock,
-        doubtfulMs,
-        read: (id, text) => syntax.upstream(id, text),
+        removalGraceMs: doubtfulMs,
+        read: (id, text) => syntax.parseUpstream(id, text),
         onInvalid: (id, findings, revision) => {
-            metrics.listingsInvalid.inc();
+            metrics.invalidEntries.inc();
             log.write(events.listingInvalid, { upstream: id, revision, findings: findings.map(formatFinding) });
         },
     });
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -10,14 +10,14 @@
 import type { DaemonOptions, DaemonPorts } from "./daemon-options.js";
 import { Instance } from "./instance.js";
 import type { OperatorServiceOptions } from "./operators/operator-service.js";
-import { OperatorsSide } from "./operators/operators-side.js";
+import { OperatorsEndpoint } from "./operators/operators-endpoint.js";
 import { PeerJoiner } from "./peers/peer-joiner.js";
-import { ownPlatform } from "./platform/own-platform.js";
+import { defaultPlatform } from "./platform/default-platform.js";
 import { PlatformLink } from "./platform/platform-link.js";
 import { platformOptions } from "./platform/platform-options.js";
 import type { Platform, PlatformAdapter } from "./platform/platform.js";
 import { CallersServer } from "./request/callers-server.js";
-import { SleepDetector } from "./sleep-detector.js";
+import { StallDetector } from "./stall-detector.js";
 import { type EventLog, openLog } from "./telemetry/event-log.js";
 import { events } from "./telemetry/event.js";
 import { Metrics } from "./telemetry/metrics.js";
@@ -40,9 +40,9 @@
     private readonly metrics: Metrics;
     private readonly transport: UpstreamTransport;
     private readonly platform: PlatformLink;
-    private readonly sleepDetector: SleepDetector;
+    private readonly sleepDetector: StallDetector;
     private readonly callers: CallersServer;
-    private readonly operators: OperatorsSide;
+    private readonly operators: OperatorsEndpoint;
     private readonly peers: PeerJoiner;
     private tracing: Tracing | undefined;
     private announceStopped: () => void = () => undefined;
@@ -61,12 +61,12 @@
         this.metrics = options.metrics ?? new Metrics();
         this.log = options.log ?? openLog(settings, this.clock, this.metrics);
         this.transport = options.transport ?? new HttpTransport();
-        const adapter = options.adapter ?? ownPlatform;
+        const adapter = options.adapter ?? defaultPlatform;
         this.instance = this.createInstance(adapter, options.policies ?? new Map());
         this.platform = this.createPlatformLink(
             options.platform ?? adapter.open(platformOptions(settings, this.metrics, this.log)),
         );
-        this.sleepDetector = new SleepDetector({ clock: this.clock, onWake: sleptMs => this.wakeLate(sleptMs) });
+        this.sleepDetector = new StallDetector({ clock: this.clock, onStall: sleptMs => this.wakeLate(sleptMs) });
         this.callers = this.createCallersServer();
         this.operators = this.createOperatorsSide();
         this.peers = this.createPeerJoiner();
@@ -90,7 +90,7 @@
         }
         await this.openTracing();
         this.sleepDetector.start();
-        void this.instance.hearOthers().then(() => this.log.write(events.serving));
+        void this.instance.contactPeers().then(() => this.log.write(events.serving));
         return ports;
     }
 
@@ -140,8 +140,8 @@
     }
 
     private wakeLate(sleptMs: number): void {
-        this.platform.noteSlept();
-        this.instance.wakeLate(sleptMs);
+        this.platform.recordStall();
+        this.instance.resumeAfterStall(sleptMs);
     }
 
     private createInstance(adapter: PlatformAdapter, policies: ReadonlyMap<string, ServicePolicy>): Instance {
@@ -153,9 +153,9 @@
             transport,
             log,
             metrics,
-            dialect: adapter.dialect,
-            syntax: adapter.syntax({ policies }),
-            doubtfulMs: () => this.platform.doubtfulMs,
+            headerProtocol: adapter.headerProtocol,
+            parser: adapter.createParser({ policies }),
+            removalGraceMs: () => this.platform.removalGraceMs,
             onConfigured: ({ configuration }) => this.callers.configure(configuration.callers),
             onTraced: record => this.tracing?.add(record),
         });
@@ -175,7 +175,7 @@
             times: this.times,
             willJoin: () => this.peers.willJoin,
             hasCallers: () => this.callers.hasServed,
-            lookForSleep: () => this.sleepDetector.look(),
+            checkForStall: () => this.sleepDetector.check(),
         });
     }
 
@@ -183,14 +183,14 @@
         return new CallersServer({
             settings: this.settings.callers,
             handler: (request, answer) => {
-                this.sleepDetector.look();
+                this.sleepDetector.check();
                 return this.instance.serve(request, answer);
             },
         });
     }
 
-    private createOperatorsSide(): OperatorsSide {
-        return new OperatorsSide({
+    private createOperatorsSide(): OperatorsEndpoint {
+        return new OperatorsEndpoint({
             settings: this.settings,
             metrics: this.metrics,
             instance: this.instance,
@@ -228,7 +228,7 @@
             clients: this.peers.clients,
             availabilityZone: this.settings.instance.availabilityZone,
             requestsInFlight: () => this.callers.inFlight,
-            platformAgeMs: () => this.platform.ageMs,
+            platformAgeMs: () => this.platform.lastResponseAgeMs,
             drain: () => {
                 void this.stop();
                 return this.settings.limits.stopDelayMs;
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -6,22 +6,28 @@
 
 export { type DaemonOptions, type DaemonPorts } from "./daemon-options.js";
 export { Daemon } from "./daemon.js";
-export { type HttpCall, httpGet, HttpGetter, type HttpResult } from "./platform/http-get.js";
+export { HttpClient, httpGet, type HttpGetRequest, type HttpResponse } from "./platform/http-get.js";
 export {
+    type DocumentParser,
+    type DocumentParserOptions,
     HistoryLostError,
     type Platform,
     type PlatformAdapter,
     PlatformError,
     type PlatformOptions,
     type Publication,
-    type PublishedSyntax,
-    type SyntaxOptions,
 } from "./platform/platform.js";
 export { type DaemonProgramOptions, exitCodes, runDaemonProgram } from "./program.js";
-export { type AnswerNotice, noNotice, readRest } from "./request/answer-notice.js";
-export { type Arrival, numberHeader, pathOf, textHeader } from "./request/arrival.js";
-export { type AnswerHead, type AnswerReading, type Dialect, type LoadReport, type OutgoingAttempt } from "./request/dialect.js";
-export { type LimitReading, noLimit, readLimit } from "./request/named-limit.js";
+export { noLimit, type ParsedLimit, readLimit } from "./request/announced-limit.js";
+export {
+    type HeaderProtocol,
+    type LoadReport,
+    type OutgoingAttempt,
+    type ParsedResponse,
+    type ResponseHead,
+} from "./request/header-protocol.js";
+export { numberHeader, pathOf, type RequestMetadata, textHeader } from "./request/request-metadata.js";
+export { noNotice, readBackoff, type ResponseNotice } from "./request/response-notice.js";
 export { EventLog, type EventLogOptions } from "./telemetry/event-log.js";
 export { type EventKind, events } from "./telemetry/event.js";
 export { Metrics } from "./telemetry/metrics.js";
--- a/packages/daemon/src/instance-parts.ts
+++ b/packages/daemon/src/instance-parts.ts
@@ -6,9 +6,9 @@
 
 import type { Settings } from "@harrierhitch/configuration";
 import type { Clock, RandomSource } from "@harrierhitch/core";
-import type { PublishedSyntax } from "./platform/platform.js";
+import type { DocumentParser } from "./platform/platform.js";
 import type { DecisionRecord } from "./request/decision-record.js";
-import type { Dialect } from "./request/dialect.js";
+import type { HeaderProtocol } from "./request/header-protocol.js";
 import type { EventLog } from "./telemetry/event-log.js";
 import type { Metrics } from "./telemetry/metrics.js";
 import type { RegistryUpdate } from "./upstream/service-registry.js";
@@ -20,12 +20,12 @@
     readonly clock: Clock;
     readonly random: RandomSource;
     readonly transport: UpstreamTransport;
-    readonly dialect: Dialect;
-    readonly syntax: PublishedSyntax;
+    readonly headerProtocol: HeaderProtocol;
+    readonly parser: DocumentParser;
     readonly log: EventLog;
     readonly metrics: Metrics;
     /** Milliseconds for which removals that the platform tells are doubtful. */
-    readonly doubtfulMs: () => number;
+    readonly removalGraceMs: () => number;
     /** Told when another configuration came into force. */
     readonly onConfigured?: (update: RegistryUpdate) => void;
     /** Takes the record of each request that is traced. */
--- a/packages/daemon/src/instance-times.ts
+++ b/packages/daemon/src/instance-times.ts
@@ -8,7 +8,7 @@
 export const notReadyRetryAfterMs = 1000;
 
 /** Sleep after which the configuration is asked for again before the next request. */
-export const minimumRefreshSleepMs = 1000;
+export const minimumRefreshStallMs = 1000;
 
 /** Longest time for which requests wait for that. */
 export const refreshTimeoutMs = 300;
--- a/packages/daemon/src/spread-draws.ts
+++ b/packages/daemon/src/low-discrepancy-sequence.ts
@@ -14,7 +14,7 @@
  * a sequence is spread evenly, so that shares by weight hold for few requests too;
  * its random beginning keeps instances from walking in step.
  */
-export class SpreadDraws {
+export class LowDiscrepancySequence {
     private readonly positions = new Map<string, number>();
 
     /** @param random - Where the sequences begin. */
--- a/packages/daemon/src/operators/explanation-message.ts
+++ b/packages/daemon/src/operators/explanation-message.ts
@@ -68,7 +68,7 @@
     });
 };
 
-const toStep = ({ atMs, input, decision, isTrial }: DecisionStep): Step =>
+const toStep = ({ atMs, input, decision, isExploration: isTrial }: DecisionStep): Step =>
     create(StepSchema, {
         atMs,
         request: create(RequestSchema, input.request),
@@ -76,7 +76,7 @@
         candidates: input.upstreams.map((facts, index) => toCandidate(facts, decision.exclusions[index], decision.scores[index])),
         tried: [...input.tried],
         draws: [...input.draws],
-        turn: input.turn,
+        turn: input.sequence,
         action: decision.action,
         isTrial,
         ...actionFields(decision),
--- a/packages/daemon/src/operators/operators-server.ts
+++ b/packages/daemon/src/operators/http-handlers.ts
@@ -7,8 +7,8 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { Registry } from "prom-client";
 
-/** Options of {@link plainOperatorsHandler}. */
-export interface PlainOperatorsOptions {
+/** Options of {@link operatorsHttpHandler}. */
+export interface OperatorsHttpOptions {
     readonly registry: Registry;
     /** Whether the platform's balancer may send callers here. */
     readonly isReady: () => boolean;
@@ -17,8 +17,8 @@
 }
 
 /** Answers liveness, readiness and metrics. */
-export const plainOperatorsHandler =
-    ({ registry, isReady, refresh }: PlainOperatorsOptions) => (request: IncomingMessage, response: ServerResponse): void => {
+export const operatorsHttpHandler =
+    ({ registry, isReady, refresh }: OperatorsHttpOptions) => (request: IncomingMessage, response: ServerResponse): void => {
         switch (request.url) {
             case "/livez":
                 answerText(response, 200, "live\n");
@@ -31,23 +31,23 @@
                 void registry.metrics().then(text => answerText(response, 200, text, registry.contentType));
                 break;
             default:
-                answerNotFound(request, response);
+                respondNotFound(request, response);
         }
     };
 
 /** Answers the balancer in front: 200 while callers may be sent here. */
-export const readyHandler =
+export const readinessHandler =
     (path: string, isReady: () => boolean) => (request: IncomingMessage, response: ServerResponse): void => {
         if (request.url === path) {
             answerText(response, isReady() ? 200 : 503, isReady() ? "ready\n" : "not ready\n");
         }
         else {
-            answerNotFound(request, response);
+            respondNotFound(request, response);
         }
     };
 
 /** Answers 404. */
-export const answerNotFound = (_: IncomingMessage, response: ServerResponse): void => {
+export const respondNotFound = (_: IncomingMessage, response: ServerResponse): void => {
     answerText(response, 404, "not found\n");
 };
 
--- a/packages/daemon/src/operators/plain-server.ts
+++ b/packages/daemon/src/operators/http-server.ts
@@ -7,18 +7,18 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import { listenOn } from "../listen.js";
 
-/** Options of {@link PlainServer}. */
-export interface PlainServerOptions {
+/** Options of {@link HttpServer}. */
+export interface HttpServerOptions {
     readonly settings: { readonly address: string; readonly port: number; };
     readonly handler: (request: IncomingMessage, response: ServerResponse) => void;
 }
 
 /** Serves plain HTTP. */
-export class PlainServer {
+export class HttpServer {
     private readonly server: Server;
 
     /** @param options - Address and handler. */
-    constructor(private readonly options: PlainServerOptions) {
+    constructor(private readonly options: HttpServerOptions) {
         this.server = createServer(options.handler);
     }
 
--- a/packages/daemon/src/operators/operator-service.ts
+++ b/packages/daemon/src/operators/operator-service.ts
@@ -7,8 +7,8 @@
 import { create } from "@bufbuild/protobuf";
 import { Code, ConnectError, type ServiceImpl } from "@connectrpc/connect";
 import { type Clock, requestId, upstreamId } from "@harrierhitch/core";
-import type { KnownLimit } from "@harrierhitch/decision";
-import { callWithin, type PeerClients } from "@harrierhitch/fleet";
+import type { StoredLimit } from "@harrierhitch/decision";
+import { callWithTimeout, type PeerClients } from "@harrierhitch/fleet";
 import type { UpstreamFacts } from "@harrierhitch/policy";
 import {
     type ExplainResponse,
@@ -47,7 +47,7 @@
 /** Implements the operators' service. */
 export const operatorService = (options: OperatorServiceOptions): ServiceImpl<typeof OperatorService> => ({
     explain: async request => {
-        const explanation = explainHere(options.instance, request.requestId);
+        const explanation = explainLocally(options.instance, request.requestId);
         return explanation === undefined && !request.localOnly
             ? await explainElsewhere(options, request.requestId)
             : create(ExplainResponseSchema, {
@@ -66,7 +66,7 @@
 });
 
 /** Explains a request that this instance decided; `undefined` without a record. */
-export const explainHere = (instance: Instance, id: string): Explanation | undefined => {
+export const explainLocally = (instance: Instance, id: string): Explanation | undefined => {
     const record = instance.explanations.find(requestId(id));
     return record && toExplanation(record);
 };
@@ -86,7 +86,7 @@
         return notFound(options, id);
     }
     try {
-        const { explanation } = await callWithin(
+        const { explanation } = await callWithTimeout(
             clock,
             peerTimeoutMs,
             signal => clients.to(peer).explainLocal({ requestId: id }, { signal }),
@@ -111,7 +111,11 @@
             return { instance: member.instance, status: undefined };
         }
         try {
-            const response = await callWithin(clock, peerTimeoutMs, signal => clients.to(member).statusLocal({}, { signal }));
+            const response = await callWithTimeout(
+                clock,
+                peerTimeoutMs,
+                signal => clients.to(member).statusLocal({}, { signal }),
+            );
             return { instance: member.instance, status: response.status };
         }
         catch {
@@ -136,11 +140,11 @@
         platformAgeMs: platformAgeMs(),
         records: instance.explanations.entries,
         recordBytes: instance.explanations.bytes,
-        zonesOut: [...instance.directory.zonesOut],
+        zonesOut: [...instance.directory.zonesOutOfService],
     });
 
 const toUpstreamStatuses = (instance: Instance, runtime: ServiceRuntime): readonly UpstreamStatus[] =>
-    runtime.beliefs.facts().map(facts =>
+    runtime.tracker.facts().map(facts =>
         create(UpstreamStatusSchema, {
             service: runtime.name,
             facts: toCandidate(facts),
@@ -148,13 +152,13 @@
         })
     );
 
-const limitOf = ({ limits }: Instance, { beliefs }: ServiceRuntime, { id }: UpstreamFacts): KnownLimit | undefined => {
+const limitOf = ({ limits }: Instance, { tracker: beliefs }: ServiceRuntime, { id }: UpstreamFacts): StoredLimit | undefined => {
     const upstream = beliefs.find(upstreamId(id));
     return upstream === undefined ? undefined : limits.find(upstream);
 };
 
 /** Says in a few words why an upstream is in its state. */
-const whyOf = (facts: UpstreamFacts, limit: KnownLimit | undefined): string => {
+const whyOf = (facts: UpstreamFacts, limit: StoredLimit | undefined): string => {
     const resting = facts.restMs > 0 && facts.state !== "draining"
         ? [`asked this instance for a rest, ${Math.ceil(facts.restMs)} ms are left`]
         : [];
@@ -162,7 +166,7 @@
 };
 
 /** Says to what an upstream is limited, by whose word and since when, and what of it is left to this instance. */
-const limitText = ({ shareGapMs, shareInMs }: UpstreamFacts, { perSecond, heardBy, sinceUnixMs }: KnownLimit): string =>
+const limitText = ({ shareGapMs, shareInMs }: UpstreamFacts, { perSecond, heardBy, sinceUnixMs }: StoredLimit): string =>
     `takes ${perSecond} a second from all instances, by its word to ${heardBy}, since ${new Date(sinceUnixMs).toISOString()}; `
     + `this instance may send one every ${Math.ceil(shareGapMs)} ms, the next in ${Math.ceil(shareInMs)} ms`;
 
--- a/packages/daemon/src/operators/operators-side.ts
+++ b/packages/daemon/src/operators/operators-endpoint.ts
@@ -5,34 +5,34 @@
  */
 
 import type { Settings } from "@harrierhitch/configuration";
+import type { RpcEndpointOptions } from "../peers/rpc-endpoint-options.js";
 import { RpcServer } from "../peers/rpc-server.js";
-import type { RpcSideOptions } from "../peers/rpc-side-options.js";
-import { plainOperatorsHandler, readyHandler } from "./operators-server.js";
-import { PlainServer } from "./plain-server.js";
+import { operatorsHttpHandler, readinessHandler } from "./http-handlers.js";
+import { HttpServer } from "./http-server.js";
 
-/** Options of {@link OperatorsSide}. */
-export interface OperatorsSideOptions extends RpcSideOptions {
+/** Options of {@link OperatorsEndpoint}. */
+export interface OperatorsEndpointOptions extends RpcEndpointOptions {
     readonly settings: Settings;
 }
 
 /** Serves operators' calls, metrics and readiness. */
-export class OperatorsSide {
+export class OperatorsEndpoint {
     private readonly server: RpcServer;
-    private readonly ready: PlainServer | undefined;
+    private readonly ready: HttpServer | undefined;
 
     /** @param options - Settings, and what is told. */
-    constructor(private readonly options: OperatorsSideOptions) {
+    constructor(private readonly options: OperatorsEndpointOptions) {
         const { settings, metrics, serviceOptions, onRefused } = options;
         const isReady = (): boolean => options.instance.stage === "serving";
         this.server = new RpcServer({
             settings: settings.operators,
             rpcPrefix: "/harrierhitch.operator.",
             openRpc: async () => (await import("../peers/rpc-listeners.js")).operatorsListener(serviceOptions()),
-            fallback: plainOperatorsHandler({ registry: metrics.registry, isReady, refresh: () => this.refreshGauges() }),
+            fallback: operatorsHttpHandler({ registry: metrics.registry, isReady, refresh: () => this.refreshGauges() }),
             onRefused,
         });
         this.ready = settings.ready
-            && new PlainServer({ settings: settings.ready, handler: readyHandler(settings.ready.path, isReady) });
+            && new HttpServer({ settings: settings.ready, handler: readinessHandler(settings.ready.path, isReady) });
     }
 
     /** Begins to serve operators; gives the port. */
@@ -63,9 +63,9 @@
         metrics.records.set(explanations.entries);
         metrics.recordBytes.set(explanations.bytes);
         metrics.members.set(fleet?.members.alive.length ?? 1);
-        metrics.listed.set(directory.upstreams.length);
-        metrics.zonesOut.set(directory.zonesOut.length);
-        metrics.knowledgeAge.set((fleet?.freshness.knownAgeMs ?? 0) / 1000);
+        metrics.discoveredUpstreams.set(directory.upstreams.length);
+        metrics.zonesOut.set(directory.zonesOutOfService.length);
+        metrics.platformStaleness.set((fleet?.stalenessTracker.confirmedStalenessMs ?? 0) / 1000);
         metrics.reader.set(fleet === undefined || fleet.roles.isReader ? 1 : 0);
     }
 }
--- a/packages/daemon/src/peers/join-fleet.ts
+++ b/packages/daemon/src/peers/create-fleet.ts
@@ -6,13 +6,13 @@
 
 import type { Settings } from "@harrierhitch/configuration";
 import { Fleet, type FleetOptions } from "@harrierhitch/fleet";
-import { BurstLine } from "../telemetry/burst-line.js";
 import type { EventLog } from "../telemetry/event-log.js";
 import { events } from "../telemetry/event.js";
 import type { Metrics } from "../telemetry/metrics.js";
+import { ThresholdLog } from "../telemetry/threshold-log.js";
 
 /** What an instance joins its fleet with: the fleet's options but for those that the settings and the metrics give. */
-export interface JoinFleetOptions
+export interface CreateFleetOptions
     extends Omit<FleetOptions, "fleet" | "address" | "port" | "onExchange" | "onLimited" | "onUnreachable"> {
     readonly settings: NonNullable<Settings["peers"]>;
     readonly metrics: Metrics;
@@ -27,8 +27,8 @@
 const limitedIntervalMs = 10_000;
 
 /** Makes the fleet's part on one instance. */
-export const joinFleet = ({ settings, metrics, log, ...options }: JoinFleetOptions): Fleet => {
-    const limited = new BurstLine({
+export const createFleet = ({ settings, metrics, log, ...options }: CreateFleetOptions): Fleet => {
+    const limited = new ThresholdLog({
         clock: options.clock,
         log,
         event: events.exchangesLimited,
@@ -43,8 +43,8 @@
         onConfiguration: (source, text) => options.onConfiguration(`instance ${source}`, text),
         onExchange: reason => metrics.peerExchanges.inc({ reason }),
         onLimited: () => {
-            metrics.peersLimited.inc();
-            limited.note();
+            metrics.exchangesLimited.inc();
+            limited.record();
         },
         onUnreachable: () => metrics.peersUnreachable.inc(),
     });
--- a/packages/daemon/src/peers/instance-fleet.ts
+++ b/packages/daemon/src/peers/instance-fleet.ts
@@ -14,15 +14,15 @@
     FleetOptions,
     | "instance"
     | "incarnation"
-    | "accepted"
+    | "activeConfiguration"
     | "directory"
     | "crashes"
     | "limits"
     | "onConfiguration"
     | "onDirectory"
     | "onSizeChange"
-    | "onSourceLost"
-    | "onRumor"
+    | "onDistributorLost"
+    | "onDrainMessage"
 >;
 
 /**
@@ -34,13 +34,14 @@
 export const instanceFleetOptions = (instance: Instance, log: EventLog): InstanceFleetOptions => ({
     instance: instance.id,
     incarnation: instance.incarnation,
-    accepted: instance.accepted,
+    activeConfiguration: instance.activeConfiguration,
     directory: instance.directory,
-    crashes: instance.crashes.ledger,
+    crashes: instance.crashes.history,
     limits: instance.limits,
-    onConfiguration: (source, text) => void instance.offerConfiguration(source, text),
-    onDirectory: () => instance.apply(),
-    onSizeChange: () => instance.applyShares(),
-    onSourceLost: (source, error) => log.write(events.sourceLost, { source, ageMs: instance.fleet?.freshness.knownAgeMs, error }),
-    onRumor: rumor => instance.takeRumor(rumor),
+    onConfiguration: (source, text) => void instance.applyConfiguration(source, text),
+    onDirectory: () => instance.updateServices(),
+    onSizeChange: () => instance.updateBudgets(),
+    onDistributorLost: (source, error) =>
+        log.write(events.sourceLost, { source, ageMs: instance.fleet?.stalenessTracker.confirmedStalenessMs, error }),
+    onDrainMessage: rumor => instance.applyDrainMessage(rumor),
 });
--- a/packages/daemon/src/peers/peer-side.ts
+++ b/packages/daemon/src/peers/peer-endpoint.ts
@@ -9,19 +9,19 @@
 import type { Clock, RandomSource } from "@harrierhitch/core";
 import type { PeerAddress, PeerClients } from "@harrierhitch/fleet";
 import type { FleetTimes } from "@harrierhitch/published";
-import { answerNotFound } from "../operators/operators-server.js";
+import { respondNotFound } from "../operators/http-handlers.js";
 import type { EventLog } from "../telemetry/event-log.js";
 import { ConnectClients } from "./connect-clients.js";
+import { createFleet } from "./create-fleet.js";
 import { instanceFleetOptions } from "./instance-fleet.js";
-import { joinFleet } from "./join-fleet.js";
+import type { RpcEndpointOptions } from "./rpc-endpoint-options.js";
 import { RpcServer } from "./rpc-server.js";
-import type { RpcSideOptions } from "./rpc-side-options.js";
 
 /** Settings of the side between instances. */
 export type PeerSettings = NonNullable<Settings["peers"]>;
 
-/** Options of {@link PeerSide}. */
-export interface PeerSideOptions extends RpcSideOptions {
+/** Options of {@link PeerEndpoint}. */
+export interface PeerEndpointOptions extends RpcEndpointOptions {
     readonly settings: PeerSettings;
     readonly availabilityZone: string;
     readonly times: FleetTimes;
@@ -31,13 +31,13 @@
 }
 
 /** Serves other instances and joins this one to their fleet. */
-export class PeerSide {
+export class PeerEndpoint {
     /** Clients of the other instances. */
     readonly clients: PeerClients;
     private readonly server: RpcServer;
 
     /** @param options - Settings and the instance. */
-    constructor(private readonly options: PeerSideOptions) {
+    constructor(private readonly options: PeerEndpointOptions) {
         const { settings, instance, onRefused } = options;
         this.clients = new ConnectClients(settings);
         this.server = new RpcServer({
@@ -45,14 +45,14 @@
             rpcPrefix: "/harrierhitch.fleet.",
             openRpc: async () => {
                 const { peersListener } = await import("./rpc-listeners.js");
-                return instance.fleet === undefined ? answerNotFound : peersListener({
+                return instance.fleet === undefined ? respondNotFound : peersListener({
                     fleetName: settings.fleet,
                     fleet: instance.fleet,
                     operators: options.serviceOptions(),
-                    onRefused,
+                    onRejected: onRefused,
                 });
             },
-            fallback: answerNotFound,
+            fallback: respondNotFound,
             onRefused,
         });
     }
@@ -61,7 +61,7 @@
     async start(): Promise<number> {
         const { settings, instance, availabilityZone, clock, random, metrics, log } = this.options;
         const port = await this.server.listen();
-        instance.fleet = joinFleet({
+        instance.fleet = createFleet({
             settings: { ...settings, port },
             seeds: seedsOf(settings),
             times: this.options.times,
@@ -79,7 +79,7 @@
 
     /** Takes over changed settings. */
     reload(settings: Settings["peers"]): void {
-        this.options.instance.fleet?.seedsAre(seedsOf(settings));
+        this.options.instance.fleet?.replaceSeeds(seedsOf(settings));
     }
 
     /** Ends all talk at once. */
--- a/packages/daemon/src/peers/peer-joiner.ts
+++ b/packages/daemon/src/peers/peer-joiner.ts
@@ -8,10 +8,10 @@
 import { asError, sleep } from "@harrierhitch/core";
 import type { PeerClients } from "@harrierhitch/fleet";
 import { events } from "../telemetry/event.js";
-import type { PeerSide, PeerSideOptions } from "./peer-side.js";
+import type { PeerEndpoint, PeerEndpointOptions } from "./peer-endpoint.js";
 
 /** Options of {@link PeerJoiner}. */
-export interface PeerJoinerOptions extends Omit<PeerSideOptions, "settings" | "availabilityZone"> {
+export interface PeerJoinerOptions extends Omit<PeerEndpointOptions, "settings" | "availabilityZone"> {
     readonly settings: Settings;
 }
 
@@ -23,7 +23,7 @@
 
 /** Opens the side between instances where the settings name one: at the start, or some time after it. */
 export class PeerJoiner {
-    private side: PeerSide | undefined;
+    private side: PeerEndpoint | undefined;
     private settings: Settings["peers"];
     private readonly ending = new AbortController();
     private isWaiting = false;
@@ -88,7 +88,7 @@
             return 0;
         }
         // Loaded only here: an instance that works alone, or has just started, does not pay for it.
-        const { PeerSide: Side } = await import("./peer-side.js");
+        const { PeerEndpoint: Side } = await import("./peer-endpoint.js");
         this.side = new Side({ ...this.options, settings, availabilityZone: this.options.settings.instance.availabilityZone });
         return await this.side.start();
     }
--- a/packages/daemon/src/peers/rpc-side-options.ts
+++ b/packages/daemon/src/peers/rpc-endpoint-options.ts
@@ -9,7 +9,7 @@
 import type { Metrics } from "../telemetry/metrics.js";
 
 /** Options that the operators' side and the peers' side share. */
-export interface RpcSideOptions {
+export interface RpcEndpointOptions {
     readonly metrics: Metrics;
     readonly instance: Instance;
     readonly serviceOptions: () => OperatorServiceOptions;
--- a/packages/daemon/src/peers/rpc-listeners.ts
+++ b/packages/daemon/src/peers/rpc-listeners.ts
@@ -7,7 +7,7 @@
 import { connectNodeAdapter } from "@connectrpc/connect-node";
 import { peerService, type PeerServiceOptions } from "@harrierhitch/fleet";
 import { OperatorService, PeerService } from "@harrierhitch/protocol";
-import { explainHere, operatorService, type OperatorServiceOptions, toStatus } from "../operators/operator-service.js";
+import { explainLocally, operatorService, type OperatorServiceOptions, toStatus } from "../operators/operator-service.js";
 import type { Listener } from "./rpc-server.js";
 
 /** Largest message that is read: a document of a megabyte and what goes with it. */
@@ -29,7 +29,7 @@
 export const peersListener = ({ operators, ...options }: PeersListenerOptions): Listener => {
     const service = peerService({
         ...options,
-        explain: id => explainHere(operators.instance, id),
+        explain: id => explainLocally(operators.instance, id),
         status: () => toStatus(operators),
     });
     return connectNodeAdapter({
--- a/packages/daemon/src/platform/own-platform.ts
+++ b/packages/daemon/src/platform/default-platform.ts
@@ -5,19 +5,19 @@
  */
 
 import { checkConfiguration } from "@harrierhitch/configuration";
-import { HeaderDialect } from "../request/header-dialect.js";
+import { ConfiguredHeaderProtocol } from "../request/configured-header-protocol.js";
 import { HttpPlatform } from "./http-platform.js";
 import type { PlatformAdapter } from "./platform.js";
 
 /** The {@link PlatformAdapter} that is used unless a program brings another. */
-export const ownPlatform: PlatformAdapter = {
+export const defaultPlatform: PlatformAdapter = {
     open: options => new HttpPlatform(options),
-    syntax: () => ({
-        configuration: checkConfiguration,
-        upstream: id => {
+    createParser: () => ({
+        parseConfiguration: checkConfiguration,
+        parseUpstream: id => {
             const message = "this platform lists no upstreams apart from the configuration";
             return { value: undefined, findings: [{ file: id, section: "", key: "", line: undefined, message }] };
         },
     }),
-    dialect: new HeaderDialect(),
+    headerProtocol: new ConfiguredHeaderProtocol(),
 };
--- a/packages/daemon/src/platform/http-get.ts
+++ b/packages/daemon/src/platform/http-get.ts
@@ -8,23 +8,23 @@
 import { Agent, get, type IncomingHttpHeaders } from "node:http";
 import { PlatformError } from "./platform.js";
 
-/** Options of {@link HttpGetter}. */
-export interface HttpGetterOptions {
+/** Options of {@link HttpClient}. */
+export interface HttpClientOptions {
     /** Largest body that is taken. */
     readonly maximumBytes: number;
 }
 
 /** The connections to a platform, with the limit on its answers. */
-export class HttpGetter {
+export class HttpClient {
     /** Connections, kept between calls. */
     readonly agent = new Agent({ keepAlive: true, maxFreeSockets: 2 });
 
     /** @param options - Limits. */
-    constructor(readonly options: HttpGetterOptions) {}
+    constructor(readonly options: HttpClientOptions) {}
 }
 
 /** One call. */
-export interface HttpCall {
+export interface HttpGetRequest {
     readonly url: string;
     readonly headers?: Readonly<Record<string, string>>;
     /** Longest time for the whole answer; the connection is closed with the call that outlasts it. */
@@ -33,7 +33,7 @@
 }
 
 /** A whole answer. */
-export interface HttpResult {
+export interface HttpResponse {
     readonly status: number;
     readonly headers: IncomingHttpHeaders;
     readonly body: Buffer;
@@ -47,7 +47,7 @@
  * @returns The whole answer, whatever its status.
  * @throws {@link PlatformError} when there is no whole answer in time.
  */
-export const httpGet = ({ agent, options }: HttpGetter, call: HttpCall): Promise<HttpResult> =>
+export const httpGet = ({ agent, options }: HttpClient, call: HttpGetRequest): Promise<HttpResponse> =>
     new Promise((resolve, reject) => {
         const { url, headers = {}, timeoutMs, signal } = call;
         const fail = (error: Error): void => {
--- a/packages/daemon/src/platform/http-platform.ts
+++ b/packages/daemon/src/platform/http-platform.ts
@@ -6,7 +6,7 @@
  */
 
 import { maximumDocumentBytes } from "@harrierhitch/configuration";
-import { httpGet, HttpGetter, type HttpResult } from "./http-get.js";
+import { HttpClient, httpGet, type HttpResponse } from "./http-get.js";
 import { type Platform, PlatformError, type PlatformOptions, type Publication } from "./platform.js";
 
 /** Time that a watch may take beyond the time asked for. */
@@ -14,7 +14,7 @@
 
 /** A {@link Platform} that publishes one document. */
 export class HttpPlatform implements Platform {
-    private readonly getter = new HttpGetter({ maximumBytes: maximumDocumentBytes });
+    private readonly getter = new HttpClient({ maximumBytes: maximumDocumentBytes });
     private turn = 0;
     private version = "";
     private revision = 0;
@@ -40,7 +40,7 @@
             : this.toPublication(result);
     }
 
-    private async get(headers: Readonly<Record<string, string>>, timeoutMs: number, signal: AbortSignal): Promise<HttpResult> {
+    private async get(headers: Readonly<Record<string, string>>, timeoutMs: number, signal: AbortSignal): Promise<HttpResponse> {
         const { addresses, configurationKey } = this.options;
         const address = addresses[this.turn % addresses.length] ?? "";
         const url = `http://${address}/keys/${encodeURIComponent(configurationKey)}`;
@@ -57,7 +57,7 @@
         }
     }
 
-    private toPublication({ headers, body }: HttpResult): Publication {
+    private toPublication({ headers, body }: HttpResponse): Publication {
         const { etag } = headers;
         if (etag === undefined) {
             throw new PlatformError("the platform answered without an ETag");
--- a/packages/daemon/src/platform/platform-link.ts
+++ b/packages/daemon/src/platform/platform-link.ts
@@ -11,7 +11,7 @@
 import type { Instance } from "../instance.js";
 import type { EventLog } from "../telemetry/event-log.js";
 import { events } from "../telemetry/event.js";
-import { PlatformFollower, type PublicationKind } from "./platform-follower.js";
+import { PlatformWatcher, type PublicationKind } from "./platform-watcher.js";
 import type { Platform, Publication } from "./platform.js";
 
 /** Options of {@link PlatformLink}. */
@@ -19,7 +19,7 @@
     readonly platform: Platform;
     readonly clock: Clock;
     readonly random: RandomSource;
-    readonly instance: Pick<Instance, "fleet" | "directory" | "takePublication" | "platformFailed">;
+    readonly instance: Pick<Instance, "fleet" | "directory" | "applyPublication" | "recordPlatformFailure">;
     readonly log: EventLog;
     /** Shortest time between two tries while the platform is down. */
     readonly retryMs: number;
@@ -28,8 +28,8 @@
     readonly times: FleetTimes;
     /** Whether this instance is going to join others, from whom it will hear what the platform tells. */
     readonly willJoin: () => boolean;
-    /** Looks whether this process slept, and if so calls {@link PlatformLink.noteSlept}. */
-    readonly lookForSleep: () => void;
+    /** Looks whether this process slept, and if so calls {@link PlatformLink.recordStall}. */
+    readonly checkForStall: () => void;
     /** Whether callers have come to this instance: whoever serves nobody needs to know nothing. */
     readonly hasCallers: () => boolean;
 }
@@ -66,7 +66,7 @@
 
 /** Follows the platform on behalf of an instance. */
 export class PlatformLink {
-    private readonly follower: PlatformFollower;
+    private readonly follower: PlatformWatcher;
     private regainedAtMs = -Infinity;
     private readAtMs = -Infinity;
     /** When the platform last told all that had changed. */
@@ -78,7 +78,7 @@
     /** @param options - The platform and the instance. */
     constructor(private readonly options: PlatformLinkOptions) {
         const { platform, clock, random, instance, retryMs, times } = options;
-        this.follower = new PlatformFollower({
+        this.follower = new PlatformWatcher({
             platform,
             clock,
             random,
@@ -86,21 +86,21 @@
             batchMs: times.batchMs,
             dueInMs: () => this.dueInMs(),
             watchMs: () => this.watchMs,
-            knownRevision: () => instance.directory.revision,
+            appliedRevision: () => instance.directory.revision,
             onPublication: (publication, kind, asOfMs) => this.take(publication, kind, asOfMs),
-            lookForSleep: options.lookForSleep,
+            checkForStall: options.checkForStall,
             onLost: error => this.onLost(error),
-            onRegained: () => this.onRegained(),
+            onRecovered: () => this.onRegained(),
         });
     }
 
     /** Milliseconds since the platform last answered; negative if it never did. */
-    get ageMs(): number {
-        return this.follower.ageMs;
+    get lastResponseAgeMs(): number {
+        return this.follower.lastResponseAgeMs;
     }
 
     /** Milliseconds for which removals that the platform tells are doubtful, because it was away just now. */
-    get doubtfulMs(): number {
+    get removalGraceMs(): number {
         const sinceMs = this.options.clock.nowMs() - this.regainedAtMs;
         return this.isLost ? lapseGraceMs : Math.max(0, lapseGraceMs - sinceMs);
     }
@@ -116,8 +116,8 @@
     }
 
     /** Notes that this process slept until now, so that no answer that lay here meanwhile is taken for a new one. */
-    noteSlept(): void {
-        this.follower.noteSlept();
+    recordStall(): void {
+        this.follower.recordStall();
     }
 
     private get isReader(): boolean {
@@ -137,7 +137,7 @@
         if (!this.isReader) {
             return 0;
         }
-        return fleet?.roles.hasFollowers === true ? Math.min(times.confirmMs, watchMs) : watchMs;
+        return fleet?.roles.hasSubscribers === true ? Math.min(times.confirmMs, watchMs) : watchMs;
     }
 
     private dueInMs(): number {
@@ -156,7 +156,7 @@
     /** An instance that is going to join others asks only for its callers' sake, and only when what it knows is stale. */
     private dueAloneInMs(): number {
         const { clock, times, hasCallers } = this.options;
-        return hasCallers() ? this.confirmedAtMs + times.staleMs - clock.nowMs() : Infinity;
+        return hasCallers() ? this.confirmedAtMs + times.staleAfterMs - clock.nowMs() : Infinity;
     }
 
     /**
@@ -170,9 +170,9 @@
         if (!isRelay && !hasCallers()) {
             return Infinity;
         }
-        const ageMs = Math.min(fleet.freshness.ageMs, nowMs - this.confirmedAtMs);
-        const staleInMs = times.staleMs - (isRelay ? times.relayLeadMs : 0) - ageMs;
-        if (!fleet.isSourceStale) {
+        const ageMs = Math.min(fleet.stalenessTracker.stalenessMs, nowMs - this.confirmedAtMs);
+        const staleInMs = times.staleAfterMs - (isRelay ? times.relayLeadMs : 0) - ageMs;
+        if (!fleet.isDistributorStale) {
             this.rareTryAtMs = undefined;
             return Math.max(staleInMs, fleet.joinedAtMs + joinGraceMs - nowMs);
         }
@@ -186,21 +186,21 @@
 
     private take(publication: Publication, kind: PublicationKind, asOfMs: number): void {
         const { instance, clock } = this.options;
-        instance.takePublication(publication, kind !== "changes");
+        instance.applyPublication(publication, kind !== "changes");
         if (kind === "stale") {
             this.readAtMs = clock.nowMs();
             return;
         }
         this.confirmedAtMs = asOfMs;
-        instance.fleet?.freshness.confirm(clock.nowMs() - asOfMs);
+        instance.fleet?.stalenessTracker.confirm(clock.nowMs() - asOfMs);
     }
 
     private onLost(error: Error): void {
         const { fleet, directory } = this.options.instance;
         this.isLost = true;
-        this.options.instance.platformFailed();
-        fleet?.members.tell({ platformReachable: false });
-        fleet?.wakeLinks();
+        this.options.instance.recordPlatformFailure();
+        fleet?.members.updateSelf({ platformReachable: false });
+        fleet?.gossipNow();
         this.options.log.write(events.platformFailed, { revision: directory.revision, error });
     }
 
@@ -209,7 +209,7 @@
         const { fleet, directory } = this.options.instance;
         this.isLost = false;
         this.regainedAtMs = this.options.clock.nowMs();
-        fleet?.members.tell({ platformReachable: true });
+        fleet?.members.updateSelf({ platformReachable: true });
         this.options.log.write(events.platformRecovered, { revision: directory.revision });
     }
 }
--- a/packages/daemon/src/platform/platform-options.ts
+++ b/packages/daemon/src/platform/platform-options.ts
@@ -25,7 +25,7 @@
         readTimeoutMs,
         onCall: kind => metrics.platformCalls.inc({ kind }),
         onInvalidItem: (key, revision, detail) => {
-            metrics.listingsInvalid.inc();
+            metrics.invalidEntries.inc();
             log.write(events.itemInvalid, { key, revision, detail });
         },
     };
--- a/packages/daemon/src/platform/platform-follower.ts
+++ b/packages/daemon/src/platform/platform-watcher.ts
@@ -10,8 +10,8 @@
 /** What a publication is: everything, perhaps from a few seconds ago; everything as of now; or what changed until now. */
 export type PublicationKind = "stale" | "whole" | "changes";
 
-/** Options of {@link PlatformFollower}. */
-export interface PlatformFollowerOptions {
+/** Options of {@link PlatformWatcher}. */
+export interface PlatformWatcherOptions {
     readonly platform: Platform;
     readonly clock: Clock;
     readonly random: RandomSource;
@@ -24,15 +24,15 @@
     /** Shortest time between two calls, so that changes that come together cost one call. */
     readonly batchMs: number;
     /** The revision up to which this instance knows everything, from whatever source. */
-    readonly knownRevision: () => number;
+    readonly appliedRevision: () => number;
     /** Takes what a read or a watch told; `asOfMs` is the moment up to which it tells everything. */
     readonly onPublication: (publication: Publication, kind: PublicationKind, asOfMs: number) => void;
     /** Asked, before an answer is taken in, to look whether this process slept while it was on its way. */
-    readonly lookForSleep: () => void;
+    readonly checkForStall: () => void;
     /** Told when the platform failed after it had answered, or at the first call. */
     readonly onLost: (error: Error) => void;
     /** Told when the platform answers again. */
-    readonly onRegained: () => void;
+    readonly onRecovered: () => void;
 }
 
 /** Longest time between two looks at whose turn it is. */
@@ -45,7 +45,7 @@
  * Reads the platform once, then watches it whenever it is this instance's turn.
  * Failures are told and tried again, they never end it.
  */
-export class PlatformFollower {
+export class PlatformWatcher {
     private readonly ending = new AbortController();
     private answeredAtMs: number | undefined;
     private hasRead = false;
@@ -55,10 +55,10 @@
     private mustBeFresh = false;
 
     /** @param options - The platform and what to do with its answers. */
-    constructor(private readonly options: PlatformFollowerOptions) {}
+    constructor(private readonly options: PlatformWatcherOptions) {}
 
     /** Milliseconds since the platform last answered; negative if it never did. */
-    get ageMs(): number {
+    get lastResponseAgeMs(): number {
         return this.answeredAtMs === undefined ? -1 : this.options.clock.nowMs() - this.answeredAtMs;
     }
 
@@ -73,7 +73,7 @@
     }
 
     /** Notes that this process slept until now. */
-    noteSlept(): void {
+    recordStall(): void {
         this.sleptAtMs = this.options.clock.nowMs();
     }
 
@@ -93,7 +93,7 @@
     }
 
     private async callOnce(signal: AbortSignal): Promise<void> {
-        const { clock, random, retryMs, onPublication, lookForSleep } = this.options;
+        const { clock, random, retryMs, onPublication, checkForStall: lookForSleep } = this.options;
         const kind = this.nextKind();
         const askedAtMs = clock.nowMs();
         try {
@@ -122,11 +122,11 @@
         if (this.mustBeFresh) {
             return "whole";
         }
-        return this.hasRead || this.options.knownRevision() > 0 ? "changes" : "stale";
+        return this.hasRead || this.options.appliedRevision() > 0 ? "changes" : "stale";
     }
 
     private async call(kind: PublicationKind, signal: AbortSignal): Promise<Publication> {
-        const { platform, knownRevision, watchMs } = this.options;
+        const { platform, appliedRevision: knownRevision, watchMs } = this.options;
         if (kind !== "changes") {
             return platform.read(signal, kind === "stale");
         }
@@ -143,7 +143,7 @@
         this.answeredAtMs = this.options.clock.nowMs();
         if (this.failuresInRow > 0) {
             this.failuresInRow = 0;
-            this.options.onRegained();
+            this.options.onRecovered();
         }
     }
 
--- a/packages/daemon/src/platform/platform.ts
+++ b/packages/daemon/src/platform/platform.ts
@@ -4,10 +4,10 @@
  * @packageDocumentation
  */
 
-import type { Checked, Configuration, ListedUpstream, ServicePolicy } from "@harrierhitch/configuration";
+import type { CheckResult, Configuration, DiscoveredUpstream, ServicePolicy } from "@harrierhitch/configuration";
 import { HarrierhitchError, type UpstreamId } from "@harrierhitch/core";
-import type { Listing, ZoneListing } from "@harrierhitch/published";
-import type { Dialect } from "../request/dialect.js";
+import type { DirectoryEntry, ZoneStatus } from "@harrierhitch/published";
+import type { HeaderProtocol } from "../request/header-protocol.js";
 
 /** What a read or a watch of the platform tells. */
 export interface Publication {
@@ -16,9 +16,9 @@
     /** The published configuration; `undefined` when there is none, or none that is new. */
     readonly configuration: string | undefined;
     /** Listed upstreams: all of them after a read, those that changed after a watch. */
-    readonly listings: readonly Listing[];
+    readonly listings: readonly DirectoryEntry[];
     /** Availability zones out of service: all of them after a read, those that changed after a watch. */
-    readonly zones: readonly ZoneListing[];
+    readonly zones: readonly ZoneStatus[];
 }
 
 /** The platform: it can be read and watched, never written. */
@@ -68,17 +68,17 @@
 }
 
 /** Options of the syntax in which a platform publishes. */
-export interface SyntaxOptions {
+export interface DocumentParserOptions {
     /** Policies that every configuration may name. */
     readonly policies: ReadonlyMap<string, ServicePolicy>;
 }
 
 /** Reads what the platform publishes. The result depends on the text alone, so that every instance judges it alike. */
-export interface PublishedSyntax {
+export interface DocumentParser {
     /** Reads and checks a configuration. */
-    configuration(source: string, text: string): Checked<Configuration>;
+    parseConfiguration(source: string, text: string): CheckResult<Configuration>;
     /** Reads and checks a listed upstream. */
-    upstream(id: UpstreamId, text: string): Checked<ListedUpstream>;
+    parseUpstream(id: UpstreamId, text: string): CheckResult<DiscoveredUpstream>;
 }
 
 /** Everything in which one platform differs from another. */
@@ -86,7 +86,7 @@
     /** Opens the way to the platform. */
     open(options: PlatformOptions): Platform;
     /** Makes the reader of what it publishes. */
-    syntax(options: SyntaxOptions): PublishedSyntax;
+    createParser(options: DocumentParserOptions): DocumentParser;
     /** How callers and upstreams say things in headers. */
-    readonly dialect: Dialect;
+    readonly headerProtocol: HeaderProtocol;
 }
--- a/packages/daemon/src/program.ts
+++ b/packages/daemon/src/program.ts
@@ -5,8 +5,8 @@
  */
 
 import {
-    type Checked,
     checkPolicyFile,
+    type CheckResult,
     checkSettings,
     InvalidDocumentError,
     type ServicePolicy,
@@ -78,7 +78,7 @@
     }
 };
 
-const accept = <Value>(checked: Checked<Value>): Value => {
+const accept = <Value>(checked: CheckResult<Value>): Value => {
     if (checked.value === undefined) {
         throw new InvalidDocumentError(checked.findings);
     }
--- a/packages/daemon/src/request/named-limit.ts
+++ b/packages/daemon/src/request/announced-limit.ts
@@ -5,7 +5,7 @@
  */
 
 /** What an answer says of how much its sender takes from all instances together. */
-export type LimitReading =
+export type ParsedLimit =
     | {
         /** It names no limit. */
         readonly type: "none";
@@ -22,7 +22,7 @@
     };
 
 /** The reading of an answer that names no limit. */
-export const noLimit: LimitReading = { type: "none" };
+export const noLimit: ParsedLimit = { type: "none" };
 
 /** Most requests a second that are taken for meant: more than any one machine answers. */
 const maximumPerSecond = 1_000_000;
@@ -38,7 +38,7 @@
  * @param header - The header's value; one that stands several times comes as one text with commas, or as several.
  * @returns The limit; unreadable where it is no decimal number, too large, or several that differ.
  */
-export const readLimit = (header: string | readonly string[] | undefined): LimitReading => {
+export const readLimit = (header: string | readonly string[] | undefined): ParsedLimit => {
     if (header === undefined) {
         return noLimit;
     }
--- a/packages/daemon/src/request/take-in.ts
+++ b/packages/daemon/src/request/apply-response.ts
@@ -5,23 +5,23 @@
  */
 
 import type { Clock } from "@harrierhitch/core";
-import type { KnownUpstream, Observation, ServiceBeliefs } from "@harrierhitch/decision";
-import type { AnswerNotice } from "./answer-notice.js";
-import type { AnswerReading, LoadReport } from "./dialect.js";
+import type { Observation, UpstreamEntry, UpstreamTracker } from "@harrierhitch/decision";
+import type { LoadReport, ParsedResponse } from "./header-protocol.js";
+import type { ResponseNotice } from "./response-notice.js";
 
 /** The head of an answer, with whom it came from. */
-export interface HeardAnswer {
+export interface ReceivedResponse {
     readonly clock: Clock;
-    readonly beliefs: ServiceBeliefs;
-    readonly upstream: KnownUpstream;
-    readonly reading: AnswerReading;
+    readonly tracker: UpstreamTracker;
+    readonly upstream: UpstreamEntry;
+    readonly response: ParsedResponse;
     /** When the request or the probe was sent. */
     readonly sentAtMs: number;
     readonly isProbe: boolean;
 }
 
 /** Takes in one field; each field of a reading has one, so that nothing an upstream says is passed on unheard. */
-type Takers<Reading> = { readonly [Field in keyof Required<Reading>]: (value: Reading[Field], heard: HeardAnswer) => void; };
+type Takers<Reading> = { readonly [Field in keyof Required<Reading>]: (value: Reading[Field], heard: ReceivedResponse) => void; };
 
 /** Least load of an upstream that sheds, in its slots. */
 const shedLoadFactor = 4;
@@ -31,32 +31,33 @@
  *
  * @param heard - The answer.
  */
-export const takeIn = (heard: HeardAnswer): void => takeEach(answerTakers, heard.reading, heard);
+export const applyResponse = (heard: ReceivedResponse): void => takeEach(answerTakers, heard.response, heard);
 
-const takeEach = <Reading extends object>(takers: Takers<Reading>, reading: Reading, heard: HeardAnswer): void =>
+const takeEach = <Reading extends object>(takers: Takers<Reading>, reading: Reading, heard: ReceivedResponse): void =>
     (Object.keys(takers) as (keyof Reading)[]).forEach(field => takers[field](reading[field], heard));
 
-const observe = ({ beliefs, upstream }: HeardAnswer, observation: Observation): void =>
+const observe = ({ tracker: beliefs, upstream }: ReceivedResponse, observation: Observation): void =>
     beliefs.observe(upstream.id, observation, upstream.startedAtMs);
 
 /** Whether the answer is the upstream's own, to what was asked; others tell nothing of its load. */
-const isOwn = ({ reading: { foreign, misdirected } }: HeardAnswer): boolean => foreign === undefined && !misdirected;
+const isOwn = ({ response: { mismatch: foreign, misdirected } }: ReceivedResponse): boolean =>
+    foreign === undefined && !misdirected;
 
 /** For what is told elsewhere, or decides what the caller gets, and teaches nothing of the upstream by itself. */
 const nothing = (): void => undefined;
 
 /** What an upstream says of its future holds, whichever request it answers. */
-const noticeTakers: Takers<AnswerNotice> = {
-    leaving: (leaving, heard) => {
+const noticeTakers: Takers<ResponseNotice> = {
+    draining: (leaving, heard) => {
         const { clock } = heard;
         if (leaving) {
             observe(heard, { type: "draining", atMs: clock.nowMs(), saidAtUnixMs: clock.wallMs() });
         }
     },
-    restMs: (restMs, heard) => {
+    backoffMs: (restMs, heard) => {
         const { clock } = heard;
         if (restMs !== undefined) {
-            observe(heard, { type: "resting", atMs: clock.nowMs(), restMs, saidAtUnixMs: clock.wallMs() });
+            observe(heard, { type: "resting", atMs: clock.nowMs(), backoffMs: restMs, saidAtUnixMs: clock.wallMs() });
         }
     },
     limit: (limit, heard) => {
@@ -68,11 +69,11 @@
             observe(heard, { type: "limited", atMs: clock.nowMs(), perSecond, sentAtMs });
         }
     },
-    unreadable: nothing,
+    invalidRetryAfter: nothing,
 };
 
 /** In the order in which they are taken in. */
-const answerTakers: Takers<AnswerReading> = {
+const answerTakers: Takers<ParsedResponse> = {
     misdirected: (misdirected, heard) => {
         if (misdirected) {
             observe(heard, { type: "draining", atMs: heard.clock.nowMs() });
@@ -92,14 +93,14 @@
     // Taken in with the load.
     shed: nothing,
     failed: nothing,
-    foreign: nothing,
+    mismatch: nothing,
     outcome: nothing,
     retryable: nothing,
-    mayPassOn: nothing,
+    forwardable: nothing,
 };
 
-const takeLoad = (load: LoadReport | undefined, heard: HeardAnswer): void => {
-    const { clock, isProbe, reading, sentAtMs } = heard;
+const takeLoad = (load: LoadReport | undefined, heard: ReceivedResponse): void => {
+    const { clock, isProbe, response: reading, sentAtMs } = heard;
     const atMs = clock.nowMs();
     if (isProbe) {
         if (load !== undefined) {
@@ -122,7 +123,7 @@
     }
 };
 
-const takeShed = (load: LoadReport | undefined, heard: HeardAnswer): void => {
+const takeShed = (load: LoadReport | undefined, heard: ReceivedResponse): void => {
     const { clock, upstream } = heard;
     const atMs = clock.nowMs();
     observe(heard, { type: "shed", atMs });
--- a/packages/daemon/src/request/attempt-task.ts
+++ b/packages/daemon/src/request/attempt-task.ts
@@ -5,22 +5,22 @@
  */
 
 import type { Outcome } from "@harrierhitch/core";
-import { type AttemptEnd, type AttemptResult, type Flight, type KnownUpstream, outcomeOf } from "@harrierhitch/decision";
+import { type AttemptEnd, type AttemptResult, type InFlightRequest, outcomeOf, type UpstreamEntry } from "@harrierhitch/decision";
 import type { UpstreamFacts } from "@harrierhitch/policy";
 import type { IncomingHttpHeaders } from "node:http";
 import { newSpanId, toTraceparent } from "../telemetry/trace-context.js";
 import type { ServiceRuntime } from "../upstream/service-runtime.js";
-import type { AnswerSink, Attempt } from "../upstream/upstream-transport.js";
-import type { SeenEnd } from "./crash-watch.js";
+import type { Attempt, ResponseSink } from "../upstream/upstream-transport.js";
+import { applyResponse } from "./apply-response.js";
+import { type BufferedResponse, ResponseBuffer } from "./buffered-response.js";
+import type { ObservedCrash } from "./crash-detector.js";
 import type { AttemptRecord } from "./decision-record.js";
-import type { AnswerReading } from "./dialect.js";
+import type { ParsedResponse } from "./header-protocol.js";
 import { requestHeaders } from "./headers.js";
-import { learnFromOvertaken, learnFromWork, type Work } from "./learn.js";
+import { learnFromOvertaken, learnFromWork, type Work } from "./record-service-time.js";
 import type { RequestBody } from "./request-body.js";
 import type { RequestProgress } from "./request-progress.js";
 import type { RequestServices } from "./request-services.js";
-import { takeIn } from "./take-in.js";
-import { AnswerBuffer, type WholeAnswer } from "./whole-answer.js";
 
 /** Everything that one attempt needs. */
 export interface AttemptOptions {
@@ -29,11 +29,11 @@
     /** The request, to whose record the attempt is added. */
     readonly progress: RequestProgress;
     readonly body: RequestBody;
-    readonly upstream: KnownUpstream;
+    readonly upstream: UpstreamEntry;
     /** What the choice knew of it. */
     readonly chosenBy: UpstreamFacts | undefined;
     /** Asked before an answer is passed on as it arrives: whether it is this attempt's turn to answer the caller. */
-    readonly mayStream: (reading: AnswerReading) => boolean;
+    readonly mayStream: (reading: ParsedResponse) => boolean;
 }
 
 /** What became of an attempt. */
@@ -42,11 +42,11 @@
     readonly result: AttemptResult;
     readonly outcome: Outcome;
     /** What the head of the answer said; `undefined` without one. */
-    readonly reading: AnswerReading | undefined;
+    readonly reading: ParsedResponse | undefined;
     /** Whether the whole answer arrived. */
     readonly isWhole: boolean;
     /** The whole answer, where it was kept back. */
-    readonly answer: WholeAnswer | undefined;
+    readonly answer: BufferedResponse | undefined;
     /** Whether the head of the answer was passed on to the caller. */
     readonly passedOn: boolean;
 }
@@ -61,15 +61,15 @@
 const blameless: ReadonlySet<AttemptEnd> = new Set<AttemptEnd>(["answered", "cancelled", "withdrawn"]);
 
 /** Runs one attempt to its end. */
-export class AttemptTask implements AnswerSink {
+export class AttemptTask implements ResponseSink {
     /** Fulfilled, never rejected, when the attempt has ended. */
     readonly ended: Promise<AttemptReport>;
     readonly startedAtMs: number;
-    private readonly flight: Flight;
+    private readonly flight: InFlightRequest;
     private readonly record: AttemptRecord;
     private readonly attempt: Attempt;
-    private reading: AnswerReading | undefined;
-    private buffer: AnswerBuffer | undefined;
+    private reading: ParsedResponse | undefined;
+    private buffer: ResponseBuffer | undefined;
     private passedOn = false;
     private discardedBytes = 0;
 
@@ -77,7 +77,7 @@
     constructor(private readonly options: AttemptOptions) {
         const { runtime, services, progress, upstream } = options;
         this.startedAtMs = services.clock.nowMs();
-        this.flight = runtime.beliefs.start(upstream.id);
+        this.flight = runtime.tracker.startRequest(upstream.id);
         this.record = {
             upstream: upstream.id,
             spanId: newSpanId(),
@@ -92,7 +92,7 @@
     }
 
     /** The upstream that is tried. */
-    get upstream(): KnownUpstream {
+    get upstream(): UpstreamEntry {
         return this.options.upstream;
     }
 
@@ -105,17 +105,24 @@
         const { services, runtime, progress, upstream } = this.options;
         const { service } = progress.route;
         const requestHeaders = progress.request.headers;
-        const reading = services.dialect.readAnswer({ status, headers, service, upstream: upstream.id, requestHeaders });
+        const reading = services.dialect.readResponseHead({ status, headers, service, upstream: upstream.id, requestHeaders });
         this.reading = reading;
         services.onNotice({ service: service.name, upstream, notice: reading.notice, request: progress.record.id });
         const { clock } = services;
-        takeIn({ clock, beliefs: runtime.beliefs, upstream, reading, sentAtMs: this.startedAtMs, isProbe: false });
-        if (reading.foreign !== undefined) {
+        applyResponse({
+            clock,
+            tracker: runtime.tracker,
+            upstream,
+            response: reading,
+            sentAtMs: this.startedAtMs,
+            isProbe: false,
+        });
+        if (reading.mismatch !== undefined) {
             return false;
         }
         const keptBytes = services.answerBufferBytes;
         if (keptBytes > 0 || !this.options.mayStream(reading)) {
-            this.buffer = new AnswerBuffer(status, headers, keptBytes);
+            this.buffer = new ResponseBuffer(status, headers, keptBytes);
             return true;
         }
         this.passOn(status, headers, reading);
@@ -133,7 +140,7 @@
     }
 
     /** The answer is too large to be kept: it is passed on from here, if it is its turn, or thrown away. */
-    private streamOrDiscard(buffer: AnswerBuffer, chunk: Buffer): void {
+    private streamOrDiscard(buffer: ResponseBuffer, chunk: Buffer): void {
         if (this.reading !== undefined && this.options.mayStream(this.reading)) {
             this.passOn(buffer.status, buffer.headers, this.reading);
             buffer.parts.forEach(part => this.options.progress.answer.write(part, () => undefined));
@@ -145,7 +152,7 @@
         }
     }
 
-    private passOn(status: number, headers: IncomingHttpHeaders, reading: AnswerReading): void {
+    private passOn(status: number, headers: IncomingHttpHeaders, reading: ParsedResponse): void {
         const { progress } = this.options;
         this.passedOn = true;
         this.buffer = undefined;
@@ -155,27 +162,27 @@
     private async finish(result: AttemptResult): Promise<AttemptReport> {
         const { runtime, services, progress, body, upstream } = this.options;
         const { reading } = this;
-        runtime.beliefs.finish(this.flight);
+        runtime.tracker.finishRequest(this.flight);
         runtime.queue.wake();
         const atMs = services.clock.nowMs();
-        const isForeign = reading?.foreign !== undefined;
+        const isForeign = reading?.mismatch !== undefined;
         if (isForeign || !blameless.has(result.end)) {
-            runtime.beliefs.observe(upstream.id, { type: "failed", atMs }, upstream.startedAtMs);
+            runtime.tracker.observe(upstream.id, { type: "failed", atMs }, upstream.startedAtMs);
         }
         const outcome = this.outcomeOf(result);
         this.record.endedMs = atMs - progress.arrivedAtMs;
         this.record.result = isForeign
-            ? { ...result, end: "garbled", detail: reading.foreign }
+            ? { ...result, end: "garbled", detail: reading.mismatch }
             : { ...result, end: reading?.shed === true ? "shed" : result.end };
         this.record.outcome = outcome;
         if (result.end === "reset") {
             await this.lookAfterBreak();
         }
         else if (result.refused === true) {
-            services.crashes.noteClosed(upstream.id);
+            services.crashes.recordPortClosed(upstream.id);
         }
         else if (result.end !== "answered" && result.sent && reading === undefined) {
-            services.crashes.noteAbandoned(this.seen());
+            services.crashes.recordAbandoned(this.seen());
         }
         services.onAttempt(progress.record, this.record);
         const isWhole = result.end === "answered" && !isForeign;
@@ -187,7 +194,7 @@
         }
         if (isWhole && outcome === "ran" && reading?.failed !== true) {
             // A failure may be a deadline that passed in the upstream's queue: that one has not shown that it survives the request.
-            services.crashes.noteAnswered(progress.key(body));
+            services.crashes.recordSuccess(progress.key(body));
         }
         const answer = isWhole && this.discardedBytes === 0 ? this.buffer?.whole() : undefined;
         return { task: this, result: this.record.result, outcome, reading, isWhole, answer, passedOn: this.passedOn };
@@ -198,14 +205,14 @@
         const { services, upstream } = this.options;
         const seen = this.seen();
         const port = await services.transport.checkPort(upstream);
-        this.record.broken = { key: seen.key, port };
+        this.record.connectionLoss = { key: seen.key, port };
         if (port === "closed") {
-            services.crashes.noteEnd(seen);
+            services.crashes.recordCrash(seen);
         }
     }
 
     /** This run, for what is remembered of upstreams that end. */
-    private seen(): SeenEnd {
+    private seen(): ObservedCrash {
         const { services, progress, body, upstream } = this.options;
         const { id: request, attempts } = progress.record;
         const ranMs = services.clock.nowMs() - this.startedAtMs;
@@ -221,7 +228,7 @@
         if (this.reading === undefined) {
             return outcomeOf(result);
         }
-        return this.reading.foreign === undefined ? this.reading.outcome : "unknown";
+        return this.reading.mismatch === undefined ? this.reading.outcome : "unknown";
     }
 
     private upstreamRequest() {
@@ -234,7 +241,7 @@
             ...own,
             traceparent: toTraceparent(trace, this.record.spanId),
         });
-        const mayBegin = (): boolean => runtime.beliefs.mayBegin(upstream, this.flight);
+        const mayBegin = (): boolean => runtime.tracker.maySend(upstream, this.flight);
         return { method: request.method ?? "GET", path: request.url ?? "/", headers, body: body.open(), mayBegin };
     }
 }
--- a/packages/daemon/src/request/whole-answer.ts
+++ b/packages/daemon/src/request/buffered-response.ts
@@ -7,7 +7,7 @@
 import type { IncomingHttpHeaders } from "node:http";
 
 /** A whole answer. */
-export interface WholeAnswer {
+export interface BufferedResponse {
     readonly status: number;
     readonly headers: IncomingHttpHeaders;
     readonly body: Buffer;
@@ -16,7 +16,7 @@
 }
 
 /** Gathers an answer, as long as it stays small. */
-export class AnswerBuffer {
+export class ResponseBuffer {
     private readonly chunks: Buffer[] = [];
     private bytes = 0;
 
@@ -48,7 +48,7 @@
     }
 
     /** The answer, once it has ended. */
-    whole(): WholeAnswer {
+    whole(): BufferedResponse {
         const { status, headers } = this;
         const isFramed = headers["content-length"] !== undefined || headers["transfer-encoding"] !== undefined;
         return { status, headers, body: Buffer.concat(this.chunks, this.bytes), isFramed };
--- a/packages/daemon/src/request/caller-answer.ts
+++ b/packages/daemon/src/request/caller-response.ts
@@ -6,10 +6,10 @@
 
 import type { RequestId } from "@harrierhitch/core";
 import type { IncomingHttpHeaders, IncomingMessage, OutgoingHttpHeaders, ServerResponse } from "node:http";
-import { answerHeaders } from "./headers.js";
+import type { BufferedResponse } from "./buffered-response.js";
+import { responseHeaders } from "./headers.js";
 import { type Problem, problemBody, problemHeaders, problemKinds } from "./problem.js";
 import { hasBody } from "./request-body.js";
-import type { WholeAnswer } from "./whole-answer.js";
 
 /** Statuses whose answers have no body, whatever their headers say. */
 const noContentStatus = 204;
@@ -19,7 +19,7 @@
  * Writes either one upstream's whole answer or one problem. An answer that
  * breaks off is cut off towards the caller too, never ended as if it were whole.
  */
-export class CallerAnswer {
+export class CallerResponse {
     private readonly leaveListeners = new Set<() => void>();
     private left = false;
     private finished = false;
@@ -57,7 +57,7 @@
      *
      * @returns Whether it was; otherwise the connection ended first, and its caller takes the request for unread.
      */
-    takeTurn(): Promise<boolean> {
+    awaitPipelineOrder(): Promise<boolean> {
         if (this.left || this.response.socket !== null) {
             return Promise.resolve(!this.left);
         }
@@ -72,7 +72,7 @@
     }
 
     /** Whether the head of an answer was sent. */
-    get begun(): boolean {
+    get headersSent(): boolean {
         return this.response.headersSent;
     }
 
@@ -81,7 +81,7 @@
         if (this.left) {
             return;
         }
-        const passedOn = answerHeaders(headers, own);
+        const passedOn = responseHeaders(headers, own);
         if (this.mustClose) {
             passedOn["connection"] = "close";
         }
@@ -114,11 +114,11 @@
      * was told by nothing but the end of its connection is passed on like that,
      * since a length of our own would claim that it is whole.
      */
-    whole({ status, headers, body, isFramed }: WholeAnswer, own: OutgoingHttpHeaders): void {
-        if (this.begun || this.left) {
+    whole({ status, headers, body, isFramed }: BufferedResponse, own: OutgoingHttpHeaders): void {
+        if (this.headersSent || this.left) {
             return;
         }
-        const passedOn = answerHeaders(headers, own);
+        const passedOn = responseHeaders(headers, own);
         if (this.mustClose) {
             passedOn["connection"] = "close";
         }
@@ -136,7 +136,7 @@
     }
 
     /** Cuts the answer off, because it cannot become whole. What was passed on still arrives, but never its end. */
-    cutOff(): void {
+    abort(): void {
         const { socket } = this.response;
         if (socket !== null && this.response.headersSent && !this.isUnframed) {
             this.response.flushHeaders();
@@ -157,8 +157,8 @@
      *
      * @returns The status that was sent, if any.
      */
-    problem(problem: Problem, id: RequestId | undefined, own: OutgoingHttpHeaders = {}): number | undefined {
-        if (this.begun || this.left) {
+    sendProblem(problem: Problem, id: RequestId | undefined, own: OutgoingHttpHeaders = {}): number | undefined {
+        if (this.headersSent || this.left) {
             return undefined;
         }
         const { status } = problemKinds[problem.kind];
--- a/packages/daemon/src/request/callers-server.ts
+++ b/packages/daemon/src/request/callers-server.ts
@@ -10,12 +10,12 @@
 import { createServer as createTlsServer } from "node:https";
 import type { Duplex } from "node:stream";
 import { listenOn } from "../listen.js";
-import { CallerAnswer } from "./caller-answer.js";
+import { CallerResponse } from "./caller-response.js";
 import { type Problem, problemBody, problemHeaders, problemKinds } from "./problem.js";
 import { hasBody } from "./request-body.js";
 
 /** Serves one request; it never rejects. */
-export type RequestHandler = (request: IncomingMessage, answer: CallerAnswer) => Promise<void>;
+export type RequestHandler = (request: IncomingMessage, answer: CallerResponse) => Promise<void>;
 
 /** Options of {@link CallersServer}. */
 export interface CallersServerOptions {
@@ -42,7 +42,10 @@
         this.server.on("checkContinue", (request, response) => this.acceptAfterContinue(request, response));
         this.server.on("checkExpectation", (request, response) => {
             const detail = `cannot meet ${request.headers.expect}`;
-            new CallerAnswer(request, response).problem({ kind: "expectation-failed", detail, outcome: "not-run" }, undefined);
+            new CallerResponse(request, response).sendProblem(
+                { kind: "expectation-failed", detail, outcome: "not-run" },
+                undefined,
+            );
         });
         this.server.on("connect", (_, socket: Duplex) => writeRawProblem(socket, upgradeProblem));
         this.server.on("clientError", (error: NodeJS.ErrnoException, socket: Duplex) => {
@@ -108,10 +111,10 @@
         if (this.stopping) {
             response.setHeader("connection", "close");
         }
-        const answer = new CallerAnswer(request, response);
+        const answer = new CallerResponse(request, response);
         const problem = findProblem(request);
         if (problem !== undefined) {
-            answer.problem(problem, undefined);
+            answer.sendProblem(problem, undefined);
             return;
         }
         if (!hasBody(request)) {
--- a/packages/daemon/src/request/header-dialect.ts
+++ b/packages/daemon/src/request/configured-header-protocol.ts
@@ -4,25 +4,25 @@
  * @packageDocumentation
  */
 
-import type { Configuration, Kind } from "@harrierhitch/configuration";
+import type { Configuration, RequestKind } from "@harrierhitch/configuration";
 import type { Outcome } from "@harrierhitch/core";
 import type { IncomingMessage } from "node:http";
-import { readRest } from "./answer-notice.js";
-import { type Arrival, numberHeader, pathOf, textHeader } from "./arrival.js";
-import type { AnswerHead, AnswerReading, Dialect, LoadReport, OutgoingAttempt } from "./dialect.js";
-import { readLimit } from "./named-limit.js";
+import { readLimit } from "./announced-limit.js";
+import type { HeaderProtocol, LoadReport, OutgoingAttempt, ParsedResponse, ResponseHead } from "./header-protocol.js";
 import { outcomeHeader } from "./problem.js";
+import { numberHeader, pathOf, type RequestMetadata, textHeader } from "./request-metadata.js";
+import { readBackoff } from "./response-notice.js";
 
 /** Statuses by which a gateway says that it could not answer; they do not tell whether the request ran. */
 const gatewayStatuses: ReadonlySet<number> = new Set([502, 503, 504]);
 
-/** harrierhitch's own {@link Dialect}. */
-export class HeaderDialect implements Dialect {
-    readArrival(request: IncomingMessage, { fleet }: Configuration, kind: Kind): Arrival {
+/** harrierhitch's own {@link HeaderProtocol}. */
+export class ConfiguredHeaderProtocol implements HeaderProtocol {
+    readRequestMetadata(request: IncomingMessage, { fleet }: Configuration, kind: RequestKind): RequestMetadata {
         const asked = numberHeader(request, fleet.timeoutHeader);
         return {
             timeoutMs: asked === undefined ? kind.timeoutMs : Math.min(asked, kind.timeoutMs),
-            patienceMs: asked,
+            callerTimeoutMs: asked,
             workspace: textHeader(request, fleet.workspaceHeader) ?? "",
             depth: numberHeader(request, fleet.depthHeader) ?? 0,
             path: pathOf(request.url ?? "/"),
@@ -34,23 +34,23 @@
         return { [timeoutHeader]: String(remainingMs), [depthHeader]: String(depth) };
     }
 
-    retryAfter(delayMs: number): string {
+    formatRetryAfter(delayMs: number): string {
         return String(Math.ceil(delayMs / 1000));
     }
 
-    readAnswer({ status, headers, service }: AnswerHead): AnswerReading {
+    readResponseHead({ status, headers, service }: ResponseHead): ParsedResponse {
         const shed = service.shedStatuses.has(status) && headers[service.shedHeader] === "not-run";
         const told = headers[outcomeHeader];
         const leaving = headers[service.drainHeader] === "draining";
         return {
-            foreign: undefined,
+            mismatch: undefined,
             outcome: shed ? "not-run" : outcomeOfStatus(status, told),
             shed,
             misdirected: false,
             failed: status >= 500,
             retryable: shed || gatewayStatuses.has(status),
-            mayPassOn: true,
-            notice: { leaving, limit: readLimit(headers[service.limitHeader]), ...readRest(status, headers) },
+            forwardable: true,
+            notice: { draining: leaving, limit: readLimit(headers[service.limitHeader]), ...readBackoff(status, headers) },
             load: readLoad(headers[service.loadHeader]),
             coldMs: undefined,
         };
--- a/packages/daemon/src/request/crash-watch.ts
+++ b/packages/daemon/src/request/crash-detector.ts
@@ -5,25 +5,25 @@
  */
 
 import type { Clock, RequestId, RequestKey, UpstreamId } from "@harrierhitch/core";
-import { CrashLedger, type EndedRun, type RequestPattern } from "@harrierhitch/decision";
+import { CrashHistory, type CrashRecord, type RequestSignature } from "@harrierhitch/decision";
 import type { EventLog } from "../telemetry/event-log.js";
 import { events } from "../telemetry/event.js";
 import type { Metrics } from "../telemetry/metrics.js";
-import { CrashTrials } from "./crash-trials.js";
+import { QuarantineTrials } from "./quarantine-trials.js";
 
-/** Options of {@link CrashWatch}. */
-export interface CrashWatchOptions {
+/** Options of {@link CrashDetector}. */
+export interface CrashDetectorOptions {
     readonly clock: Clock;
     readonly log: EventLog;
     readonly metrics: Metrics;
     /** Tells other instances that there is something new. */
-    readonly onNews: () => void;
+    readonly onChange: () => void;
     /** Whether this instance alone is to try what is withheld. */
-    readonly isChosenToTry: (pattern: RequestPattern) => boolean;
+    readonly isTrialOwner: (pattern: RequestSignature) => boolean;
 }
 
 /** A run whose upstream has ended, as this instance saw it. */
-export interface SeenEnd {
+export interface ObservedCrash {
     readonly request: RequestId;
     /** Number of the attempt, from 1. */
     readonly attempt: number;
@@ -33,7 +33,7 @@
 }
 
 /** A run that this instance gave up, at an upstream that may be working on it still. */
-interface AbandonedRun extends SeenEnd {
+interface AbandonedRun extends ObservedCrash {
     readonly atMs: number;
     readonly atUnixMs: number;
 }
@@ -51,22 +51,22 @@
  * What this instance knows of requests under which upstreams end. Without it each instance would send such a request on at
  * every repeat.
  */
-export class CrashWatch {
+export class CrashDetector {
     /** What the fleet remembers; kept up to date by what others tell, too. */
-    readonly ledger: CrashLedger;
-    private readonly trials: CrashTrials;
+    readonly history: CrashHistory;
+    private readonly trials: QuarantineTrials;
     private abandoned: readonly AbandonedRun[] = [];
 
     /** @param options - Clock, log and listener. */
-    constructor(private readonly options: CrashWatchOptions) {
+    constructor(private readonly options: CrashDetectorOptions) {
         const { clock, log } = options;
-        this.ledger = new CrashLedger({
+        this.history = new CrashHistory({
             clock,
-            onWithheld: (pattern, runs) => this.tellWithheld(pattern, runs),
+            onQuarantined: (pattern, runs) => this.tellWithheld(pattern, runs),
             onReleased: pattern => this.release(pattern),
         });
-        this.trials = new CrashTrials({
-            mayTry: pattern => this.ledger.isDueForTrial(pattern) && options.isChosenToTry(pattern),
+        this.trials = new QuarantineTrials({
+            mayTry: pattern => this.history.isTrialDue(pattern) && options.isTrialOwner(pattern),
             onTrial: (request, patterns) => log.write(events.withheldTried, { request, patterns }),
         });
     }
@@ -78,8 +78,8 @@
      * @param request - The request.
      * @param key - What it asks for; called only where something is remembered.
      */
-    mustWithhold(request: RequestId, key: () => RequestKey): boolean {
-        const patterns = this.ledger.size > 0 ? this.ledger.withholding(key()) : [];
+    shouldQuarantine(request: RequestId, key: () => RequestKey): boolean {
+        const patterns = this.history.size > 0 ? this.history.matchingQuarantines(key()) : [];
         return patterns.length > 0 && !this.trials.admits(request, patterns);
     }
 
@@ -94,7 +94,7 @@
      * @param request - The request.
      * @param mayHaveRun - Whether an upstream may have run it; otherwise another one may try in its place.
      */
-    noteSettled(request: RequestId, mayHaveRun: boolean): void {
+    recordCompleted(request: RequestId, mayHaveRun: boolean): void {
         this.trials.noteSettled(request, mayHaveRun);
     }
 
@@ -104,12 +104,12 @@
      * @param request - The request.
      * @param key - What it asks for.
      */
-    allowsSecond(request: RequestId, key: () => RequestKey): boolean {
-        return !this.trials.includes(request) && !(this.ledger.size > 0 && this.ledger.isSuspect(key()));
+    allowsHedge(request: RequestId, key: () => RequestKey): boolean {
+        return !this.trials.includes(request) && !(this.history.size > 0 && this.history.isSuspect(key()));
     }
 
     /** Notes a run that is given up before anything is known of its end. */
-    noteAbandoned(run: SeenEnd): void {
+    recordAbandoned(run: ObservedCrash): void {
         const { clock } = this.options;
         const atMs = clock.nowMs();
         const kept = this.abandoned.filter(other => atMs - other.atMs < abandonedMs).slice(1 - maximumAbandoned);
@@ -117,7 +117,7 @@
     }
 
     /** Notes that nobody listens at an upstream any more: what was given up there lately may be the cause. */
-    noteClosed(upstream: UpstreamId): void {
+    recordPortClosed(upstream: UpstreamId): void {
         const nowMs = this.options.clock.nowMs();
         const there = this.abandoned.filter(run => run.upstream === upstream);
         if (there.length > 0) {
@@ -129,40 +129,40 @@
     }
 
     /** Notes a run whose upstream has ended. */
-    noteEnd(run: SeenEnd): void {
+    recordCrash(run: ObservedCrash): void {
         const { clock } = this.options;
         this.note(run, { endedAtMs: clock.nowMs(), endedAtUnixMs: Math.floor(clock.wallMs()) });
-        this.noteClosed(run.upstream);
+        this.recordPortClosed(run.upstream);
     }
 
     private note(
-        { request, attempt, key, upstream, ranMs }: SeenEnd,
-        ended: Pick<EndedRun, "endedAtMs" | "endedAtUnixMs">,
+        { request, attempt, key, upstream, ranMs }: ObservedCrash,
+        ended: Pick<CrashRecord, "endedAtMs" | "endedAtUnixMs">,
     ): void {
-        const { log, onNews } = this.options;
+        const { log, onChange: onNews } = this.options;
         const id = `${request}.${attempt}`;
         log.write(events.endedUnder, { request, key, upstream, ranMs: Math.round(ranMs) });
-        if (this.ledger.merge([{ id, key, upstream, ...ended, ranMs, isAnswered: false, answeredAlike: 0 }])) {
+        if (this.history.merge([{ id, key, upstream, ...ended, ranMs, hasSucceeded: false, succeededMasks: 0 }])) {
             onNews();
         }
     }
 
     /** Notes that an upstream has answered a request whole. */
-    noteAnswered(key: RequestKey): void {
-        if (this.ledger.noteAnswered(key)) {
-            this.options.onNews();
+    recordSuccess(key: RequestKey): void {
+        if (this.history.recordSuccess(key)) {
+            this.options.onChange();
         }
     }
 
-    private release(pattern: RequestPattern): void {
+    private release(pattern: RequestSignature): void {
         this.trials.forget(pattern);
         this.options.log.write(events.withheldReleased, { pattern });
     }
 
-    private tellWithheld(pattern: RequestPattern, runs: readonly EndedRun[]): void {
+    private tellWithheld(pattern: RequestSignature, runs: readonly CrashRecord[]): void {
         const { clock, log, metrics } = this.options;
         const nowMs = clock.nowMs();
-        metrics.requestsWithheld.inc();
+        metrics.requestsQuarantined.inc();
         log.write(events.requestWithheld, {
             pattern,
             runs: runs.map(({ id, key, upstream, endedAtMs, ranMs }) => ({
--- a/packages/daemon/src/request/make-request-services.ts
+++ b/packages/daemon/src/request/create-request-services.ts
@@ -7,33 +7,33 @@
 import type { InstanceId } from "@harrierhitch/core";
 import type { InstanceParts } from "../instance-parts.js";
 import type { ExplanationStore } from "../operators/explanation-store.js";
-import { LimitedLines } from "../telemetry/limited-lines.js";
+import { RateLimitLog } from "../telemetry/rate-limit-log.js";
 import type { Telemetry } from "../telemetry/telemetry.js";
 import type { ProbeBudget } from "../upstream/probe-budget.js";
 import { Prober } from "../upstream/prober.js";
-import type { HeardNotice } from "./answer-notice.js";
-import type { CrashWatch } from "./crash-watch.js";
+import type { CrashDetector } from "./crash-detector.js";
 import { RequestIds } from "./request-id.js";
 import type { RequestServices } from "./request-services.js";
+import type { ReceivedNotice } from "./response-notice.js";
 
 /** What they are made of. */
-export interface RequestServicesOptions {
+export interface CreateRequestServicesOptions {
     readonly parts: InstanceParts;
     readonly instance: InstanceId;
     readonly incarnation: number;
     readonly explanations: ExplanationStore;
-    readonly crashes: CrashWatch;
+    readonly crashes: CrashDetector;
     readonly probeBudget: ProbeBudget;
     readonly telemetry: Telemetry;
 }
 
 /** Makes the parts that the requests of an instance share. */
-export const makeRequestServices = (options: RequestServicesOptions): RequestServices => {
+export const createRequestServices = (options: CreateRequestServicesOptions): RequestServices => {
     const { parts, instance, incarnation, explanations, crashes, probeBudget, telemetry } = options;
-    const { settings, clock, random, transport, dialect, log, metrics, onTraced } = parts;
+    const { settings, clock, random, transport, headerProtocol: dialect, log, metrics, onTraced } = parts;
     const { limits, callers, traces } = settings;
-    const limitedLines = new LimitedLines({ clock, log, metrics });
-    const onNotice = (notice: HeardNotice): void => telemetry.noticed(notice);
+    const limitedLines = new RateLimitLog({ clock, log, metrics });
+    const onNotice = (notice: ReceivedNotice): void => telemetry.noticeReceived(notice);
     return {
         clock,
         random,
@@ -42,7 +42,7 @@
         prober: new Prober({
             clock,
             transport,
-            dialect,
+            headerProtocol: dialect,
             budget: probeBudget,
             onProbe: (service, result) => metrics.probes.inc({ service: service.name, result }),
             onNotice,
@@ -55,10 +55,10 @@
         log,
         sampleTrace: () => traces.otlpUrl !== undefined && random.next() < traces.sampleShare,
         onNotice,
-        onDecision: (service, input, decision) => limitedLines.note(service, input, decision),
-        onAttempt: (record, attempt) => telemetry.attempted(record, attempt),
+        onDecision: (service, input, decision) => limitedLines.record(service, input, decision),
+        onAttempt: (record, attempt) => telemetry.attemptEnded(record, attempt),
         onServed: (record, sampled) => {
-            telemetry.served(record);
+            telemetry.requestServed(record);
             if (sampled) {
                 onTraced?.(record);
             }
--- a/packages/daemon/src/request/decision-record.ts
+++ b/packages/daemon/src/request/decision-record.ts
@@ -15,11 +15,11 @@
     /** Milliseconds since arrival. */
     readonly atMs: number;
     /** Time that the decision took. */
-    readonly tookMs: number;
+    readonly durationMs: number;
     readonly input: DecisionInput;
     readonly decision: Decision;
     /** Whether it sends the request to find out how a fuller upstream does; its input then takes those for as good as others. */
-    readonly isTrial: boolean;
+    readonly isExploration: boolean;
 }
 
 /** One attempt; its result is set when it has ended. */
@@ -33,7 +33,7 @@
     result: AttemptResult | undefined;
     outcome: Outcome | undefined;
     /** What was asked, and whether anyone still listened at the upstream, where the connection broke. */
-    broken?: { readonly key: RequestKey; readonly port: PortState; };
+    connectionLoss?: { readonly key: RequestKey; readonly port: PortState; };
 }
 
 /** What is kept of one request, filled in while it is served. */
--- a/packages/daemon/src/request/dialect.ts
+++ b/packages/daemon/src/request/header-protocol.ts
@@ -4,11 +4,11 @@
  * @packageDocumentation
  */
 
-import type { Configuration, Kind, Service, Upstream } from "@harrierhitch/configuration";
+import type { Configuration, RequestKind, Service, Upstream } from "@harrierhitch/configuration";
 import type { Outcome, UpstreamId } from "@harrierhitch/core";
 import type { IncomingHttpHeaders, IncomingMessage } from "node:http";
-import type { AnswerNotice } from "./answer-notice.js";
-import type { Arrival } from "./arrival.js";
+import type { RequestMetadata } from "./request-metadata.js";
+import type { ResponseNotice } from "./response-notice.js";
 
 /** An attempt, as far as its request tells of it. */
 export interface OutgoingAttempt {
@@ -21,7 +21,7 @@
 }
 
 /** The head of an upstream's answer, with what it answers. */
-export interface AnswerHead {
+export interface ResponseHead {
     readonly status: number;
     readonly headers: IncomingHttpHeaders;
     readonly service: Service;
@@ -41,9 +41,9 @@
 }
 
 /** What the head of an answer says. */
-export interface AnswerReading {
+export interface ParsedResponse {
     /** Why this is not the upstream's answer to this request; `undefined` when it is. */
-    readonly foreign: string | undefined;
+    readonly mismatch: string | undefined;
     /** What the head tells of whether the request ran. */
     readonly outcome: Outcome;
     /** Whether the upstream was too busy for the request. */
@@ -55,22 +55,22 @@
     /** Whether another attempt may do better. */
     readonly retryable: boolean;
     /** Whether the caller may get this answer as it is. */
-    readonly mayPassOn: boolean;
+    readonly forwardable: boolean;
     /** What it wants heeded after this answer. */
-    readonly notice: AnswerNotice;
+    readonly notice: ResponseNotice;
     readonly load: LoadReport | undefined;
     /** Milliseconds for which the upstream says that it stays slow after a start; `undefined` when it does not say. */
     readonly coldMs: number | undefined;
 }
 
 /** Reads and writes the headers by which callers, this instance and upstreams understand each other. */
-export interface Dialect {
+export interface HeaderProtocol {
     /** Reads what a caller's request says of itself. */
-    readArrival(request: IncomingMessage, configuration: Configuration, kind: Kind): Arrival;
+    readRequestMetadata(request: IncomingMessage, configuration: Configuration, kind: RequestKind): RequestMetadata;
     /** Headers in lower case that are set on an attempt's request; `undefined` takes one away. */
     attemptHeaders(attempt: OutgoingAttempt): Readonly<Record<string, string | undefined>>;
     /** Writes the value of `Retry-After`. */
-    retryAfter(delayMs: number): string;
+    formatRetryAfter(delayMs: number): string;
     /** Reads the head of an answer. */
-    readAnswer(head: AnswerHead): AnswerReading;
+    readResponseHead(head: ResponseHead): ParsedResponse;
 }
--- a/packages/daemon/src/request/headers.ts
+++ b/packages/daemon/src/request/headers.ts
@@ -58,7 +58,7 @@
  * @param headers - The headers that arrived.
  * @param own - Headers of our own, which replace those of the same name.
  */
-export const answerHeaders = (headers: IncomingHttpHeaders, own: OutgoingHttpHeaders): OutgoingHttpHeaders => {
+export const responseHeaders = (headers: IncomingHttpHeaders, own: OutgoingHttpHeaders): OutgoingHttpHeaders => {
     const dropped = namedByConnection(headers.connection);
     const kept: OutgoingHttpHeaders = {};
     for (const name in headers) {
--- a/packages/daemon/src/request/hold-queue.ts
+++ b/packages/daemon/src/request/hold-queue.ts
@@ -11,7 +11,7 @@
 export type HoldResult = "decide-again" | "displaced" | "gone";
 
 /** Where a request stands among those that wait. */
-export interface QueuePlace {
+export interface QueuePosition {
     /** Workspace of the caller, for fairness. */
     readonly workspace: string;
     /** Weight of the request's kind. */
@@ -22,14 +22,14 @@
 }
 
 /** One request that waits. */
-export interface Waiting extends QueuePlace {
+export interface QueuedRequest extends QueuePosition {
     /** Time at which it is decided again, whatever has happened. */
     readonly untilMs: number;
     /** Asks to be told when the caller leaves; gives the way to take that back. */
-    readonly onGone: (listener: () => void) => () => void;
+    readonly onDisconnect: (listener: () => void) => () => void;
 }
 
-interface Entry extends Waiting {
+interface Entry extends QueuedRequest {
     readonly finish: (result: HoldResult) => void;
 }
 
@@ -62,7 +62,7 @@
      * @param weight - Weight of the request that wants to wait.
      * @param maximumQueued - Most requests that wait.
      */
-    makeRoom(weight: number, maximumQueued: number): boolean {
+    ensureCapacity(weight: number, maximumQueued: number): boolean {
         if (this.entries.size < maximumQueued) {
             return true;
         }
@@ -75,7 +75,7 @@
     }
 
     /** Waits until it is worth deciding again, or until waiting ends. */
-    wait(waiting: Waiting): Promise<HoldResult> {
+    wait(waiting: QueuedRequest): Promise<HoldResult> {
         return new Promise(resolve => {
             const entry: Entry = {
                 ...waiting,
@@ -87,7 +87,7 @@
                 },
             };
             const timer = this.clock.after(waiting.untilMs - this.clock.nowMs(), () => entry.finish("decide-again"));
-            const forget = waiting.onGone(() => entry.finish("gone"));
+            const forget = waiting.onDisconnect(() => entry.finish("gone"));
             this.entries.add(entry);
             this.review();
         });
@@ -107,18 +107,18 @@
     }
 
     /** Number of requests of its workspace that wait and go before one; other workspaces have turns of their own. */
-    aheadOf(place: QueuePlace): number {
+    countAhead(place: QueuePosition): number {
         return [...this.entries].filter(entry => entry.workspace === place.workspace && this.compare(entry, place) < 0).length;
     }
 
     /** Notes that a request which had waited was sent to an upstream. */
-    noteAdmitted(): void {
+    recordAdmitted(): void {
         this.pace.note(this.clock.nowMs());
     }
 
     /** Time for which a request is expected to wait here before it is sent, as fast as those before it were; 0 while nothing waits. */
-    expectedWaitMs(place: QueuePlace): number {
-        const ahead = this.aheadOf(place);
+    expectedWaitMs(place: QueuePosition): number {
+        const ahead = this.countAhead(place);
         return ahead === 0 ? 0 : ahead * this.pace.intervalMs(this.clock.nowMs());
     }
 
@@ -131,7 +131,7 @@
     }
 
     /** Those whose answer can still be in time go first; then the heaviest, then whoever is due first. */
-    private compare(a: QueuePlace, b: QueuePlace): number {
+    private compare(a: QueuePosition, b: QueuePosition): number {
         const nowMs = this.clock.nowMs();
         const lateness = Number(a.dueAtMs <= nowMs) - Number(b.dueAtMs <= nowMs);
         return lateness || b.weight - a.weight || a.dueAtMs - b.dueAtMs || a.arrivedAtMs - b.arrivedAtMs;
--- a/packages/daemon/src/request/urgency.ts
+++ b/packages/daemon/src/request/latency-budget.ts
@@ -7,15 +7,15 @@
 import type { Route } from "@harrierhitch/configuration";
 import type { Clock } from "@harrierhitch/core";
 import type { ServiceRuntime } from "../upstream/service-runtime.js";
-import type { Arrival } from "./arrival.js";
-import type { QueuePlace } from "./hold-queue.js";
+import type { QueuePosition } from "./hold-queue.js";
+import type { RequestMetadata } from "./request-metadata.js";
 
 /** Options of {@link Urgency}. */
 export interface UrgencyOptions {
     readonly clock: Clock;
     readonly runtime: ServiceRuntime;
     readonly route: Route;
-    readonly arrival: Arrival;
+    readonly arrival: RequestMetadata;
     readonly arrivedAtMs: number;
     /** When the request is given up. */
     readonly deadlineAtMs: number;
@@ -39,7 +39,9 @@
     constructor(private readonly options: UrgencyOptions) {
         const { runtime, route, arrival, arrivedAtMs } = options;
         this.arrivedAtMs = arrivedAtMs;
-        this.elapsedMs = arrival.patienceMs === undefined ? 0 : runtime.usualPatience.note(route.kind.name, arrival.patienceMs);
+        this.elapsedMs = arrival.callerTimeoutMs === undefined
+            ? 0
+            : runtime.callerTimeouts.record(route.kind.name, arrival.callerTimeoutMs);
         this.couldBeInTime = this.slackMs > 0;
     }
 
@@ -53,12 +55,12 @@
     get slackMs(): number {
         const { route, runtime } = this.options;
         const { name, targetLatencyMs } = route.kind;
-        const mostMs = runtime.usualTimes.mostOf(name) ?? targetLatencyMs * unknownWorkShare;
+        const mostMs = runtime.latencyBaselines.p90Of(name) ?? targetLatencyMs * unknownWorkShare;
         return targetLatencyMs > 0 ? this.targetLeftMs - mostMs : 0;
     }
 
     /** Where it stands among requests that are held back. */
-    get place(): QueuePlace {
+    get place(): QueuePosition {
         const { route, arrival, deadlineAtMs } = this.options;
         const { weight, targetLatencyMs } = route.kind;
         const dueAtMs = targetLatencyMs > 0 ? this.arrivedAtMs - this.elapsedMs + targetLatencyMs : deadlineAtMs;
--- a/packages/daemon/src/request/crash-trials.ts
+++ b/packages/daemon/src/request/quarantine-trials.ts
@@ -5,30 +5,30 @@
  */
 
 import type { RequestId } from "@harrierhitch/core";
-import type { RequestPattern } from "@harrierhitch/decision";
+import type { RequestSignature } from "@harrierhitch/decision";
 
-/** Options of {@link CrashTrials}. */
-export interface CrashTrialsOptions {
+/** Options of {@link QuarantineTrials}. */
+export interface QuarantineTrialsOptions {
     /** Whether what is withheld may be tried now, and by this instance. */
-    readonly mayTry: (pattern: RequestPattern) => boolean;
+    readonly mayTry: (pattern: RequestSignature) => boolean;
     /** Told of a request that tries. */
-    readonly onTrial: (request: RequestId, patterns: readonly RequestPattern[]) => void;
+    readonly onTrial: (request: RequestId, patterns: readonly RequestSignature[]) => void;
 }
 
 /**
  * Lets one request of this instance through, once for each pattern that is withheld: one that ends upstreams costs
  * one more, and an innocent is found out by its answer. Whatever becomes of a trial that may have run, it is the only one.
  */
-export class CrashTrials {
-    private readonly triedBy = new Map<RequestPattern, RequestId>();
+export class QuarantineTrials {
+    private readonly triedBy = new Map<RequestSignature, RequestId>();
     /** The requests that try, while they have no answer. */
     private readonly trying = new Set<RequestId>();
 
     /** @param options - What may be tried. */
-    constructor(private readonly options: CrashTrialsOptions) {}
+    constructor(private readonly options: QuarantineTrialsOptions) {}
 
     /** Whether a request may be sent although it is withheld for some patterns. */
-    admits(request: RequestId, patterns: readonly RequestPattern[]): boolean {
+    admits(request: RequestId, patterns: readonly RequestSignature[]): boolean {
         if (this.trying.has(request)) {
             return patterns.every(pattern => this.triedBy.get(pattern) === request);
         }
@@ -54,7 +54,7 @@
     }
 
     /** Forgets a pattern that is no longer withheld. */
-    forget(pattern: RequestPattern): void {
+    forget(pattern: RequestSignature): void {
         this.triedBy.delete(pattern);
     }
 }
--- a/packages/daemon/src/request/withheld.ts
+++ b/packages/daemon/src/request/quarantine.ts
@@ -4,7 +4,7 @@
  * @packageDocumentation
  */
 
-import type { CrashWatch } from "./crash-watch.js";
+import type { CrashDetector } from "./crash-detector.js";
 import type { RequestBody } from "./request-body.js";
 import type { RequestProgress } from "./request-progress.js";
 
@@ -19,11 +19,11 @@
  * @param crashes - Which requests are withheld.
  * @returns Whether it is settled so.
  */
-export const giveUpWithheld = (progress: RequestProgress, body: RequestBody, crashes: CrashWatch): boolean => {
+export const giveUpWithheld = (progress: RequestProgress, body: RequestBody, crashes: CrashDetector): boolean => {
     const { id } = progress.record;
     // One that tries is sent once: a second attempt of it would end a second upstream.
     const isSpent = crashes.isTrial(id) && progress.mayHaveRun;
-    const isWithheld = isSpent || crashes.mustWithhold(id, () => progress.key(body));
+    const isWithheld = isSpent || crashes.shouldQuarantine(id, () => progress.key(body));
     if (isWithheld) {
         const detail = "upstreams have ended one after the other under this request";
         progress.giveUp({ kind: "withheld", detail, outcome: progress.outcomeSoFar(), retryAfterMs });
--- a/packages/daemon/src/request/accept-body.ts
+++ b/packages/daemon/src/request/receive-body.ts
@@ -44,7 +44,7 @@
  * @returns Whether it may be begun; otherwise it is settled.
  */
 export const isItsTurn = async (progress: RequestProgress): Promise<boolean> => {
-    if (progress.route.kind.repeatable || await progress.answer.takeTurn()) {
+    if (progress.route.kind.repeatable || await progress.answer.awaitPipelineOrder()) {
         return true;
     }
     progress.record.outcome = "not-run";
--- a/packages/daemon/src/request/learn.ts
+++ b/packages/daemon/src/request/record-service-time.ts
@@ -4,7 +4,7 @@
  * @packageDocumentation
  */
 
-import { workTime } from "@harrierhitch/decision";
+import { expectedResponseTime } from "@harrierhitch/decision";
 import type { UpstreamFacts } from "@harrierhitch/policy";
 import type { ServiceRuntime } from "../upstream/service-runtime.js";
 
@@ -24,14 +24,14 @@
     const { runtime, kind, chosenBy, latencyMs } = work;
     if (chosenBy !== undefined) {
         noteCrowding(work, chosenBy);
-        runtime.usualTimes.observe(kind, latencyMs, workTime(chosenBy));
+        runtime.latencyBaselines.record(kind, latencyMs, expectedResponseTime(chosenBy));
     }
 };
 
 /** An attempt that another one overtook took at least so long: without those, crowded upstreams would look faster. */
 export const learnFromOvertaken = (work: Work): void => {
     const { runtime, kind, chosenBy, latencyMs } = work;
-    const usualMs = runtime.usualTimes.of(kind);
+    const usualMs = runtime.latencyBaselines.baselineOf(kind);
     if (chosenBy !== undefined && usualMs !== undefined && latencyMs > usualMs * chosenBy.expectedSlowness) {
         noteCrowding(work, chosenBy);
     }
@@ -40,5 +40,12 @@
 const noteCrowding = ({ runtime, kind, atMs, latencyMs }: Work, chosenBy: UpstreamFacts): void => {
     const fill = (chosenBy.expectedInFlight + 1) / Math.max(1, chosenBy.slots);
     const { reportAgeMs, expectedSlowness: slowness } = chosenBy;
-    runtime.beliefs.observeWork({ atMs, latencyMs, usualMs: runtime.usualTimes.of(kind), fill, slowness, reportAgeMs });
+    runtime.tracker.recordResponse({
+        atMs,
+        latencyMs,
+        baselineMs: runtime.latencyBaselines.baselineOf(kind),
+        utilization: fill,
+        expectedSlowdown: slowness,
+        reportAgeMs,
+    });
 };
--- a/packages/daemon/src/request/refuse.ts
+++ b/packages/daemon/src/request/refuse.ts
@@ -18,10 +18,10 @@
 export const refuse = (progress: RequestProgress, runtime: ServiceRuntime, decision: RefuseDecision): void => {
     const { cause, reason, retryAfterMs } = decision;
     if (cause === "limited" && retryAfterMs < progress.remainingMs) {
-        runtime.returns.note(retryAfterMs);
+        runtime.retryAfterSchedule.recordRetryAfter(retryAfterMs);
     }
     if (cause === "limited" && progress.urgency.targetLeftMs >= 0) {
-        runtime.returns.noteTurnedAway();
+        runtime.retryAfterSchedule.recordRejection();
     }
     const kind = cause === "policy" ? "refused" : "no-upstream";
     progress.giveUp({ kind, detail: reason, outcome: progress.outcomeSoFar(), retryAfterMs });
--- a/packages/daemon/src/request/return-after.ts
+++ b/packages/daemon/src/request/rejection-retry-after.ts
@@ -5,7 +5,7 @@
  */
 
 import type { RandomSource } from "@harrierhitch/core";
-import { comeBackMs, retryAfterOf, waitForAllMs, type Waiting } from "@harrierhitch/decision";
+import { earliestAvailableMs, jitteredRetryAfterMs, retryAfterOf, type UpstreamWait } from "@harrierhitch/decision";
 import type { DecisionRecord } from "./decision-record.js";
 
 /**
@@ -19,12 +19,12 @@
  */
 export const returnAfterMs = (
     { attempts, route, steps }: DecisionRecord,
-    waits: readonly Waiting[],
+    waits: readonly UpstreamWait[],
     random: RandomSource,
 ): number => {
-    const waitMs = waitForAllMs(waits);
+    const waitMs = earliestAvailableMs(waits);
     if (waitMs !== undefined) {
-        return comeBackMs(waitMs, random.next());
+        return jitteredRetryAfterMs(waitMs, random.next());
     }
     const wasShed = attempts.at(-1)?.result?.end === "shed";
     const room = steps.at(-1)?.input.service.room ?? 0;
--- a/packages/daemon/src/request/request-entry.ts
+++ b/packages/daemon/src/request/request-dispatcher.ts
@@ -4,51 +4,51 @@
  * @packageDocumentation
  */
 
-import { pickRoute, type Route, type RouteGroup } from "@harrierhitch/configuration";
-import type { AcceptedConfiguration } from "@harrierhitch/published";
+import { type Route, type RouteGroup, selectRoute } from "@harrierhitch/configuration";
+import type { ActiveConfiguration } from "@harrierhitch/published";
 import type { IncomingMessage } from "node:http";
 import { notReadyRetryAfterMs } from "../instance-times.js";
-import type { SpreadDraws } from "../spread-draws.js";
+import type { LowDiscrepancySequence } from "../low-discrepancy-sequence.js";
 import type { Telemetry } from "../telemetry/telemetry.js";
 import type { ServiceRegistry } from "../upstream/service-registry.js";
-import { hostOf, pathOf } from "./arrival.js";
-import type { CallerAnswer } from "./caller-answer.js";
+import type { CallerResponse } from "./caller-response.js";
+import { hostOf, pathOf } from "./request-metadata.js";
 import { RequestProgress } from "./request-progress.js";
 import type { RequestServices } from "./request-services.js";
 import { RequestTask } from "./request-task.js";
 
-/** Options of {@link RequestEntry}. */
-export interface RequestEntryOptions {
+/** Options of {@link RequestDispatcher}. */
+export interface RequestDispatcherOptions {
     readonly services: RequestServices;
-    readonly accepted: AcceptedConfiguration;
+    readonly accepted: ActiveConfiguration;
     /** The state of all services. */
     readonly registry: ServiceRegistry;
     readonly telemetry: Telemetry;
     /** Draws that spread requests over the parts of a route. */
-    readonly draws: SpreadDraws;
+    readonly samples: LowDiscrepancySequence;
 }
 
 /** A request that has arrived. */
 export interface ArrivedRequest {
     readonly request: IncomingMessage;
-    readonly answer: CallerAnswer;
+    readonly response: CallerResponse;
     /** When it arrived: earlier than now where it waited for this instance to be ready. */
     readonly arrivedAtMs: number;
     /** Whether the configuration in force may be relied on. */
-    readonly hasHeardOthers: boolean;
+    readonly hasContactedPeers: boolean;
 }
 
 /** Finds the route of each request and has it served. */
-export class RequestEntry {
+export class RequestDispatcher {
     /** @param options - Services and the configuration in force. */
-    constructor(private readonly options: RequestEntryOptions) {}
+    constructor(private readonly options: RequestDispatcherOptions) {}
 
     /** Serves one request to its end. */
-    async serve({ request, answer, arrivedAtMs, hasHeardOthers }: ArrivedRequest): Promise<void> {
-        const { services, accepted: { inForce }, registry, telemetry } = this.options;
+    async serve({ request, response: answer, arrivedAtMs, hasContactedPeers: hasHeardOthers }: ArrivedRequest): Promise<void> {
+        const { services, accepted: { current: inForce }, registry, telemetry } = this.options;
         if (inForce === undefined || !hasHeardOthers) {
             const detail = inForce === undefined ? "no configuration has been accepted yet" : "others have not been heard yet";
-            answer.problem({ kind: "not-ready", detail, outcome: "not-run", retryAfterMs: notReadyRetryAfterMs }, undefined);
+            answer.sendProblem({ kind: "not-ready", detail, outcome: "not-run", retryAfterMs: notReadyRetryAfterMs }, undefined);
             return;
         }
         const { configuration } = inForce;
@@ -57,8 +57,8 @@
         const route = group && this.pick(group);
         const runtime = route && registry.get(route.service.name);
         if (route === undefined || runtime === undefined) {
-            telemetry.unrouted(request, path, configuration.generation);
-            answer.problem({ kind: "no-route", detail: `${request.method} ${path}`, outcome: "not-run" }, undefined);
+            telemetry.requestUnrouted(request, path, configuration.generation);
+            answer.sendProblem({ kind: "no-route", detail: `${request.method} ${path}`, outcome: "not-run" }, undefined);
             return;
         }
         const progress = new RequestProgress(services, runtime, { configuration, route, request, answer, arrivedAtMs });
@@ -66,6 +66,6 @@
     }
 
     private pick(group: RouteGroup): Route | undefined {
-        return pickRoute(group, group.choices.length > 1 ? this.options.draws.next(group.name) : 0);
+        return selectRoute(group, group.destinations.length > 1 ? this.options.samples.next(group.name) : 0);
     }
 }
--- a/packages/daemon/src/request/request-hold.ts
+++ b/packages/daemon/src/request/request-hold.ts
@@ -16,7 +16,7 @@
  * @param clock - The clock.
  * @returns Whether the request is settled; otherwise it is time to decide again.
  */
-export const holdBack = async (progress: RequestProgress, runtime: ServiceRuntime, clock: Clock): Promise<boolean> => {
+export const holdRequest = async (progress: RequestProgress, runtime: ServiceRuntime, clock: Clock): Promise<boolean> => {
     const { service, kind } = progress.route;
     const { holdLeftMs } = progress;
     if (holdLeftMs <= 0 && progress.decidedHoldLeftMs > 0) {
@@ -24,7 +24,7 @@
         // though upstreams have room.
         return false;
     }
-    if (holdLeftMs <= 0 || !runtime.queue.makeRoom(kind.weight, service.maximumQueued)) {
+    if (holdLeftMs <= 0 || !runtime.queue.ensureCapacity(kind.weight, service.maximumQueued)) {
         giveUpHolding(progress, holdLeftMs <= 0 ? "held back for too long" : "too many requests wait");
         return true;
     }
@@ -32,7 +32,7 @@
     const result = await runtime.queue.wait({
         ...progress.urgency.place,
         untilMs: Math.min(heldSinceMs + holdLeftMs, progress.deadlineAtMs),
-        onGone: listener => progress.answer.onCallerLeft(listener),
+        onDisconnect: listener => progress.answer.onCallerLeft(listener),
     });
     progress.heldMs += clock.nowMs() - heldSinceMs;
     switch (result) {
--- a/packages/daemon/src/request/request-key.ts
+++ b/packages/daemon/src/request/request-key.ts
@@ -7,8 +7,8 @@
 import { type RequestKey, requestKey } from "@harrierhitch/core";
 import { createHash } from "node:crypto";
 import type { IncomingMessage } from "node:http";
-import { hostOf, pathOf } from "./arrival.js";
 import type { RequestBody } from "./request-body.js";
+import { hostOf, pathOf } from "./request-metadata.js";
 
 /** Hexadecimal digits of the part for method, host and path: two of a million are the same with a chance of 1 in 37 million. */
 const pathDigits = 16;
--- a/packages/daemon/src/request/arrival.ts
+++ b/packages/daemon/src/request/request-metadata.ts
@@ -7,11 +7,11 @@
 import type { IncomingMessage } from "node:http";
 
 /** What was read from the head of a request. */
-export interface Arrival {
+export interface RequestMetadata {
     /** Milliseconds for which the caller will wait, at most the kind's. */
     readonly timeoutMs: number;
     /** Milliseconds for which the caller itself will wait; `undefined` when it does not say. */
-    readonly patienceMs: number | undefined;
+    readonly callerTimeoutMs: number | undefined;
     /** Name of the caller's workspace; empty when it names none. */
     readonly workspace: string;
     /** Number of harrierhitch hops before this one. */
--- a/packages/daemon/src/request/request-progress.ts
+++ b/packages/daemon/src/request/request-progress.ts
@@ -11,17 +11,17 @@
 import { events } from "../telemetry/event.js";
 import { continueTrace, type TraceContext } from "../telemetry/trace-context.js";
 import type { ServiceRuntime } from "../upstream/service-runtime.js";
-import type { Arrival } from "./arrival.js";
-import type { CallerAnswer } from "./caller-answer.js";
-import { toDecidedBy } from "./decided-by.js";
+import type { CallerResponse } from "./caller-response.js";
+import { toDecidedBy } from "./decision-log-fields.js";
 import type { DecisionRecord } from "./decision-record.js";
+import { Urgency } from "./latency-budget.js";
 import { outcomeHeader, type Problem, type ProblemKind, problemKinds } from "./problem.js";
+import { returnAfterMs } from "./rejection-retry-after.js";
 import type { RequestBody } from "./request-body.js";
 import { requestKeyOf } from "./request-key.js";
+import type { RequestMetadata } from "./request-metadata.js";
 import type { RequestServices } from "./request-services.js";
-import { returnAfterMs } from "./return-after.js";
 import type { RoutedRequest } from "./routed-request.js";
-import { Urgency } from "./urgency.js";
 
 /** Header that names a request to its caller. */
 export const requestIdHeader = "x-harrierhitch-request-id";
@@ -39,10 +39,10 @@
 export class RequestProgress {
     readonly route: Route;
     readonly request: IncomingMessage;
-    readonly answer: CallerAnswer;
+    readonly answer: CallerResponse;
     readonly arrivedAtMs: number;
     readonly deadlineAtMs: number;
-    readonly arrival: Arrival;
+    readonly arrival: RequestMetadata;
     readonly trace: TraceContext;
     readonly record: DecisionRecord;
     /** Time for which the request has been held back. */
@@ -68,7 +68,7 @@
         this.answer = answer;
         this.arrivedAtMs = arrivedAtMs;
         this.callerAddress = request.socket.remoteAddress ?? "";
-        this.arrival = services.dialect.readArrival(request, configuration, route.kind);
+        this.arrival = services.dialect.readRequestMetadata(request, configuration, route.kind);
         this.deadlineAtMs = this.arrivedAtMs + this.arrival.timeoutMs;
         this.urgency = new Urgency({
             clock: services.clock,
@@ -161,9 +161,9 @@
             targetLeftMs: urgency.targetLeftMs,
             slackMs: urgency.slackMs,
             holdLeftMs: this.holdLeftMs,
-            ahead: this.runtime.queue.aheadOf(urgency.place),
+            ahead: this.runtime.queue.countAhead(urgency.place),
             waitMs: Math.max(roomInMs, this.runtime.queue.expectedWaitMs(urgency.place)),
-            usualMs: this.runtime.usualTimes.of(kind.name) ?? 0,
+            usualMs: this.runtime.latencyBaselines.baselineOf(kind.name) ?? 0,
         };
     }
 
@@ -200,7 +200,7 @@
 
     /** When the caller should come back if it is refused. */
     get retryAfterMs(): number {
-        return returnAfterMs(this.record, this.runtime.beliefs.waits, this.services.random);
+        return returnAfterMs(this.record, this.runtime.tracker.upstreamWaits, this.services.random);
     }
 
     /** Gives the request its final answer at once. */
@@ -209,8 +209,10 @@
         const kind = truthfulKind(problem);
         this.record.outcome = outcome;
         this.record.problem = kind;
-        const retryAfter = retryAfterMs === undefined ? {} : { "retry-after": this.services.dialect.retryAfter(retryAfterMs) };
-        this.record.status = this.answer.problem({ ...problem, kind }, this.record.id, {
+        const retryAfter = retryAfterMs === undefined
+            ? {}
+            : { "retry-after": this.services.dialect.formatRetryAfter(retryAfterMs) };
+        this.record.status = this.answer.sendProblem({ ...problem, kind }, this.record.id, {
             ...this.ownHeaders(outcome),
             ...retryAfter,
         });
--- a/packages/daemon/src/request/request-task.ts
+++ b/packages/daemon/src/request/request-task.ts
@@ -7,21 +7,21 @@
 import type { UpstreamId } from "@harrierhitch/core";
 import type { ChooseDecision, Decision } from "@harrierhitch/decision";
 import type { ServiceRuntime } from "../upstream/service-runtime.js";
-import { acceptBody, isItsTurn } from "./accept-body.js";
 import { type AttemptReport, AttemptTask } from "./attempt-task.js";
-import { deliver, endStream, giveUpAfterAttempt } from "./deliver.js";
-import type { AnswerReading } from "./dialect.js";
+import type { ParsedResponse } from "./header-protocol.js";
+import { allowsSecond, secondLookMs } from "./hedge.js";
 import { Mailbox } from "./mailbox.js";
 import { mayRetry } from "./may-retry.js";
+import { giveUpWithheld } from "./quarantine.js";
+import { acceptBody, isItsTurn } from "./receive-body.js";
 import { refuse } from "./refuse.js";
 import type { RequestBody } from "./request-body.js";
-import { isPromising, RequestChoice } from "./request-choice.js";
 import type { RequestEvent } from "./request-event.js";
-import { holdBack } from "./request-hold.js";
+import { holdRequest } from "./request-hold.js";
 import type { RequestProgress } from "./request-progress.js";
 import type { RequestServices } from "./request-services.js";
-import { allowsSecond, secondLookMs } from "./second-attempt.js";
-import { giveUpWithheld } from "./withheld.js";
+import { deliver, endStream, giveUpAfterAttempt } from "./send-response.js";
+import { isPromising, RequestChoice } from "./upstream-selection.js";
 
 /** Serves one request. */
 export class RequestTask {
@@ -49,12 +49,12 @@
     async run(): Promise<void> {
         const { progress, services } = this;
         services.explanations.begin(progress.record);
-        this.runtime.retryBudget.earn();
+        this.runtime.retryBudget.deposit();
         const body = await acceptBody(progress, services.bodyLimits);
         if (body !== undefined && await isItsTurn(progress)) {
             await this.serve(body);
         }
-        services.crashes.noteSettled(progress.record.id, progress.mayHaveRun);
+        services.crashes.recordCompleted(progress.record.id, progress.mayHaveRun);
         progress.record.durationMs = progress.ageMs;
         services.explanations.finish(progress.record);
         services.onServed(progress.record, progress.trace.sampled);
@@ -88,7 +88,7 @@
             case "choose":
                 return this.beginAttempt(decision, body);
             case "hold":
-                return await holdBack(this.progress, this.runtime, this.services.clock);
+                return await holdRequest(this.progress, this.runtime, this.services.clock);
             case "refuse":
                 refuse(this.progress, this.runtime, decision);
                 return true;
@@ -128,7 +128,7 @@
         }
         if (this.start(decision.upstream, body) && progress.heldMs > 0) {
             // Where there was room for one there may be room for the next.
-            this.runtime.queue.noteAdmitted();
+            this.runtime.queue.recordAdmitted();
             this.runtime.queue.wake();
         }
         return false;
@@ -137,12 +137,12 @@
     /** Begins an attempt; tells whether its upstream was still there for one. */
     private start(id: UpstreamId, body: RequestBody): boolean {
         const { services, runtime, progress } = this;
-        const upstream = runtime.beliefs.find(id);
-        if (upstream === undefined || !runtime.beliefs.admits(upstream)) {
+        const upstream = runtime.tracker.find(id);
+        if (upstream === undefined || !runtime.tracker.admits(upstream)) {
             // It is gone, leaves, rests, takes no more now, or its zone was taken out of service since the decision.
             return false;
         }
-        const mayStream = (reading: AnswerReading): boolean => this.mayStream(reading, task, body);
+        const mayStream = (reading: ParsedResponse): boolean => this.mayStream(reading, task, body);
         const chosenBy = this.choice.factsOf(id);
         const task: AttemptTask = new AttemptTask({ services, runtime, progress, body, upstream, chosenBy, mayStream });
         this.tried.push(id);
@@ -168,23 +168,23 @@
         const { progress, runtime, services: { crashes } } = this;
         const canBegin = (): boolean =>
             this.running.size === 1 && this.streaming === undefined && allowsSecond(progress, body)
-            && crashes.allowsSecond(progress.record.id, () => progress.key(body));
+            && crashes.allowsHedge(progress.record.id, () => progress.key(body));
         // While others wait for room, a second attempt would take it from their first.
-        if (!canBegin() || runtime.queue.length > 0 || !runtime.retryBudget.canTake()) {
+        if (!canBegin() || runtime.queue.length > 0 || !runtime.retryBudget.canWithdraw()) {
             return;
         }
         const decision = await this.choice.decide(this.tried);
         const isElsewhere = decision.action === "choose" && !this.tried.includes(decision.upstream);
-        if (isElsewhere && isPromising(decision) && canBegin() && runtime.retryBudget.take()) {
+        if (isElsewhere && isPromising(decision) && canBegin() && runtime.retryBudget.tryWithdraw()) {
             this.start(decision.upstream, body);
         }
     }
 
     /** Whether an attempt may pass its answer on as it arrives; the first that may ends the others. */
-    private mayStream(reading: AnswerReading, task: AttemptTask, body: RequestBody): boolean {
+    private mayStream(reading: ParsedResponse, task: AttemptTask, body: RequestBody): boolean {
         const isOthersTurn = this.streaming !== undefined && this.streaming !== task;
         const willRetry = reading.retryable && mayRetry(this.progress, body, reading.outcome !== "not-run");
-        if (isOthersTurn || willRetry || !reading.mayPassOn) {
+        if (isOthersTurn || willRetry || !reading.forwardable) {
             return false;
         }
         this.streaming = task;
@@ -205,7 +205,7 @@
             progress.record.outcome = progress.outcomeSoFar();
             return this.running.size === 0;
         }
-        if (report.answer !== undefined && report.reading?.retryable === false && report.reading.mayPassOn) {
+        if (report.answer !== undefined && report.reading?.retryable === false && report.reading.forwardable) {
             this.cancelAll("cancelled");
             deliver(progress, report);
             return true;
@@ -224,10 +224,10 @@
         }
         // An attempt that never reached its upstream is no further load on the service.
         const isFree = result.end === "connect-failed" || result.end === "withdrawn";
-        if (mayRetry(progress, body, outcome !== "not-run") && (isFree || runtime.retryBudget.take())) {
+        if (mayRetry(progress, body, outcome !== "not-run") && (isFree || runtime.retryBudget.tryWithdraw())) {
             return false;
         }
-        if (report.answer !== undefined && report.reading?.mayPassOn === true) {
+        if (report.answer !== undefined && report.reading?.forwardable === true) {
             this.cancelAll("cancelled");
             deliver(progress, report);
             return true;
--- a/packages/daemon/src/request/answer-notice.ts
+++ b/packages/daemon/src/request/response-notice.ts
@@ -5,31 +5,31 @@
  */
 
 import type { RequestId, ServiceName } from "@harrierhitch/core";
-import type { KnownUpstream } from "@harrierhitch/decision";
+import type { UpstreamEntry } from "@harrierhitch/decision";
 import type { IncomingHttpHeaders } from "node:http";
-import { type LimitReading, noLimit } from "./named-limit.js";
-import { readRetryAfter, type RetryAfterReading } from "./retry-after.js";
+import { noLimit, type ParsedLimit } from "./announced-limit.js";
+import { type ParsedRetryAfter, readRetryAfter } from "./retry-after.js";
 
 /** What the head of an answer asks of this instance, whichever request it answers. */
-export interface AnswerNotice {
+export interface ResponseNotice {
     /** Whether the upstream says that it leaves. */
-    readonly leaving: boolean;
+    readonly draining: boolean;
     /** Milliseconds for which it wants nothing from this instance; `undefined` where it does not ask for that. */
-    readonly restMs: number | undefined;
+    readonly backoffMs: number | undefined;
     /** How much it takes from all instances together. */
-    readonly limit: LimitReading;
+    readonly limit: ParsedLimit;
     /** A `Retry-After` that cannot be read; the rest of the answer holds all the same. */
-    readonly unreadable: string | undefined;
+    readonly invalidRetryAfter: string | undefined;
 }
 
 /** The notice of an answer that asks for nothing. */
-export const noNotice: AnswerNotice = { leaving: false, restMs: undefined, limit: noLimit, unreadable: undefined };
+export const noNotice: ResponseNotice = { draining: false, backoffMs: undefined, limit: noLimit, invalidRetryAfter: undefined };
 
 /** A notice with whom it came from. */
-export interface HeardNotice {
+export interface ReceivedNotice {
     readonly service: ServiceName;
-    readonly upstream: KnownUpstream;
-    readonly notice: AnswerNotice;
+    readonly upstream: UpstreamEntry;
+    readonly notice: ResponseNotice;
     /** The request that was answered so; `undefined` for a probe. */
     readonly request: RequestId | undefined;
 }
@@ -43,9 +43,12 @@
  * @param status - Status of the answer.
  * @param headers - Its headers.
  */
-export const readRest = (status: number, headers: IncomingHttpHeaders): Pick<AnswerNotice, "restMs" | "unreadable"> => {
+export const readBackoff = (
+    status: number,
+    headers: IncomingHttpHeaders,
+): Pick<ResponseNotice, "backoffMs" | "invalidRetryAfter"> => {
     const { delayMs, unreadable } = restStatuses.has(status) ? readRetryAfter(headers) : nothing;
-    return { restMs: delayMs === 0 ? undefined : delayMs, unreadable };
+    return { backoffMs: delayMs === 0 ? undefined : delayMs, invalidRetryAfter: unreadable };
 };
 
-const nothing: RetryAfterReading = { delayMs: undefined, unreadable: undefined };
+const nothing: ParsedRetryAfter = { delayMs: undefined, unreadable: undefined };
--- a/packages/daemon/src/request/retry-after.ts
+++ b/packages/daemon/src/request/retry-after.ts
@@ -7,7 +7,7 @@
 import type { IncomingHttpHeaders } from "node:http";
 
 /** What a `Retry-After` says. */
-export interface RetryAfterReading {
+export interface ParsedRetryAfter {
     /** Milliseconds to wait; `undefined` where there is no such header, or none that can be read. */
     readonly delayMs: number | undefined;
     /** The header's text where it cannot be read. */
@@ -34,7 +34,7 @@
  * @param headers - Headers of the answer; a date counts from the answer's own `Date`, so that no clock of this machine matters.
  * @returns The delay, or the text that cannot be read: a negative or endless delay, words, a date without a `Date`.
  */
-export const readRetryAfter = (headers: IncomingHttpHeaders): RetryAfterReading => {
+export const readRetryAfter = (headers: IncomingHttpHeaders): ParsedRetryAfter => {
     const text = headers["retry-after"]?.trim();
     if (text === undefined) {
         return { delayMs: undefined, unreadable: undefined };
--- a/packages/daemon/src/request/routed-request.ts
+++ b/packages/daemon/src/request/routed-request.ts
@@ -6,7 +6,7 @@
 
 import type { Configuration, Route } from "@harrierhitch/configuration";
 import type { IncomingMessage } from "node:http";
-import type { CallerAnswer } from "./caller-answer.js";
+import type { CallerResponse } from "./caller-response.js";
 
 /** One request as it was routed. */
 export interface RoutedRequest {
@@ -15,7 +15,7 @@
     /** The route that matched. */
     readonly route: Route;
     readonly request: IncomingMessage;
-    readonly answer: CallerAnswer;
+    readonly answer: CallerResponse;
     /** When it arrived: earlier than now where it waited for this instance to be ready. */
     readonly arrivedAtMs: number;
 }
--- a/packages/daemon/src/request/deliver.ts
+++ b/packages/daemon/src/request/send-response.ts
@@ -30,7 +30,7 @@
     if (!answer.callerLeft) {
         log.write(events.answerCutOff, { request: record.id, detail: report.result.detail });
     }
-    answer.cutOff();
+    answer.abort();
 };
 
 /** Gives up after an attempt that no other one follows. */
--- a/packages/daemon/src/request/request-choice.ts
+++ b/packages/daemon/src/request/upstream-selection.ts
@@ -10,9 +10,9 @@
     type Decision,
     type DecisionInput,
     drawNumbers,
-    isGoodNow,
-    type KnownUpstream,
-    probeTargets,
+    isKnownGood,
+    selectProbeTargets,
+    type UpstreamEntry,
 } from "@harrierhitch/decision";
 import type { UpstreamFacts } from "@harrierhitch/policy";
 import { events } from "../telemetry/event.js";
@@ -47,12 +47,12 @@
      */
     async decide(tried: readonly UpstreamId[]): Promise<Decision> {
         const { progress, runtime, services } = this;
-        this.considered = runtime.beliefs.considered(tried, () => services.random.next());
+        this.considered = runtime.tracker.selectCandidates(tried, () => services.random.next());
         await this.probe(tried);
         const atMs = progress.ageMs;
-        const { input, decision, isTrial } = this.decideNow(tried);
-        runtime.nextTurn();
-        progress.record.steps.push({ atMs, tookMs: progress.ageMs - atMs, input, decision, isTrial });
+        const { input, decision, isExploration: isTrial } = this.decideNow(tried);
+        runtime.advanceSequence();
+        progress.record.steps.push({ atMs, durationMs: progress.ageMs - atMs, input, decision, isExploration: isTrial });
         services.onDecision(runtime.name, input, decision);
         if (decision.policyFailure !== undefined) {
             services.log.write(events.policyFailed, { request: progress.record.id, ...decision.policyFailure });
@@ -61,30 +61,30 @@
     }
 
     /** Decides by what is known; what would be refused finds out how fuller upstreams do, where nothing is known of that. */
-    private decideNow(tried: readonly UpstreamId[]): Pick<DecisionStep, "input" | "decision" | "isTrial"> {
+    private decideNow(tried: readonly UpstreamId[]): Pick<DecisionStep, "input" | "decision" | "isExploration"> {
         const { policy } = this.progress.route;
         const input = this.input(tried, false);
         const decision = decide(policy, input);
-        if (decision.action !== "refuse" || !this.runtime.beliefs.mayTry) {
-            return { input, decision, isTrial: false };
+        if (decision.action !== "refuse" || !this.runtime.tracker.mayExplore) {
+            return { input, decision, isExploration: false };
         }
         const trialInput = this.input(tried, true);
         const trial = decide(policy, trialInput);
         return trial.action === "choose"
-            ? { input: trialInput, decision: trial, isTrial: true }
-            : { input, decision, isTrial: false };
+            ? { input: trialInput, decision: trial, isExploration: true }
+            : { input, decision, isExploration: false };
     }
 
     private input(tried: readonly UpstreamId[], isTrial: boolean): DecisionInput {
         const { progress, runtime, services } = this;
-        const upstreams = runtime.beliefs.factsOf(this.considered, isTrial);
+        const upstreams = runtime.tracker.factsOf(this.considered, isTrial);
         return {
-            request: progress.facts(runtime.roomInMs(upstreams, tried)),
+            request: progress.facts(runtime.headroomInMs(upstreams, tried)),
             service: runtime.facts(upstreams, tried, this.askable),
             upstreams,
             tried: [...tried],
             draws: drawNumbers(services.random),
-            turn: runtime.turn,
+            sequence: runtime.sequence,
         };
     }
 
@@ -94,7 +94,7 @@
         const { policy, service } = progress.route;
         return policy.probeCandidates === 0 || service.probePath === undefined
             ? 0
-            : this.considered.filter(id => services.prober.mayAsk(id)).length;
+            : this.considered.filter(id => services.prober.canProbe(id)).length;
     }
 
     /** Asks the likeliest upstreams for their load, two at a time, until one is good or the patience ends. */
@@ -106,8 +106,9 @@
         }
         const endAtMs = services.clock.nowMs() + Math.min(policy.probeTimeoutMs, progress.remainingMs);
         const asked = new Set<string>(tried);
-        const hasGood = (): boolean => runtime.beliefs.factsOf(this.considered.filter(id => !tried.includes(id))).some(isGoodNow);
-        if (runtime.queue.aheadOf(progress.urgency.place) > 0) {
+        const hasGood = (): boolean =>
+            runtime.tracker.factsOf(this.considered.filter(id => !tried.includes(id))).some(isKnownGood);
+        if (runtime.queue.countAhead(progress.urgency.place) > 0) {
             return;
         }
         const isAgain = tried.length > 0 || progress.heldMs > 0;
@@ -118,18 +119,18 @@
             if (timeoutMs <= 0 || upstreams.length === 0) {
                 return;
             }
-            await services.prober.ask({ service, runtime, upstreams, timeoutMs, isEnough: hasGood });
+            await services.prober.probe({ service, runtime, upstreams, timeoutMs, isSufficient: hasGood });
             upstreams.forEach(({ id }) => asked.add(id));
         }
     }
 
     /** The likeliest upstreams that were not asked yet and that the budget allows to ask. */
-    private likeliest(asked: ReadonlySet<string>, count: number): readonly KnownUpstream[] {
+    private likeliest(asked: ReadonlySet<string>, count: number): readonly UpstreamEntry[] {
         const { runtime, services } = this;
-        const askable = this.considered.filter(id => !asked.has(id) && services.prober.mayAsk(id));
-        const facts = runtime.beliefs.factsOf(askable);
-        const ids = probeTargets({ upstreams: facts, tried: [] }, count, () => services.random.next());
-        return ids.flatMap(id => runtime.beliefs.find(upstreamId(id)) ?? []);
+        const askable = this.considered.filter(id => !asked.has(id) && services.prober.canProbe(id));
+        const facts = runtime.tracker.factsOf(askable);
+        const ids = selectProbeTargets({ upstreams: facts, tried: [] }, count, () => services.random.next());
+        return ids.flatMap(id => runtime.tracker.find(upstreamId(id)) ?? []);
     }
 
     /** Whether a request that was held back or tried before has less time left than an answer usually takes. */
--- a/packages/daemon/src/sleep-detector.ts
+++ b/packages/daemon/src/stall-detector.ts
@@ -6,11 +6,11 @@
 
 import type { Clock, Timer } from "@harrierhitch/core";
 
-/** Options of {@link SleepDetector}. */
-export interface SleepDetectorOptions {
+/** Options of {@link StallDetector}. */
+export interface StallDetectorOptions {
     readonly clock: Clock;
     /** Told how long the process slept, before any other overdue work is done. */
-    readonly onWake: (sleptMs: number) => void;
+    readonly onStall: (sleptMs: number) => void;
 }
 
 /** Time between two looks at the clock. */
@@ -23,12 +23,12 @@
  * Looks at the monotonic clock at short intervals; a look that comes much too
  * late shows that the process was paused or its event loop starved.
  */
-export class SleepDetector {
+export class StallDetector {
     private timer: Timer | undefined;
     private dueAtMs = 0;
 
     /** @param options - Clock and what to do on waking. */
-    constructor(private readonly options: SleepDetectorOptions) {}
+    constructor(private readonly options: StallDetectorOptions) {}
 
     /** Begins to look. */
     start(): void {
@@ -45,12 +45,12 @@
      * Looks now, as each request does on arrival, so that no request is decided
      * on beliefs from before a pause.
      */
-    look(): void {
+    check(): void {
         const lateMs = this.options.clock.nowMs() - this.dueAtMs;
         if (this.timer !== undefined && lateMs > minimumSleepMs) {
             this.timer.cancel();
             this.schedule();
-            this.options.onWake(lateMs);
+            this.options.onStall(lateMs);
         }
     }
 
@@ -58,7 +58,7 @@
         const { clock } = this.options;
         this.dueAtMs = clock.nowMs() + tickMs;
         this.timer = clock.after(tickMs, () => {
-            this.look();
+            this.check();
             this.timer?.cancel();
             this.schedule();
         });
--- a/packages/daemon/src/wake-refresh.ts
+++ b/packages/daemon/src/stall-recovery.ts
@@ -5,13 +5,13 @@
  */
 
 import type { Fleet } from "@harrierhitch/fleet";
-import { minimumRefreshSleepMs, refreshTimeoutMs } from "./instance-times.js";
+import { minimumRefreshStallMs, refreshTimeoutMs } from "./instance-times.js";
 import type { EventLog } from "./telemetry/event-log.js";
 import { events } from "./telemetry/event.js";
 import type { UpstreamTransport } from "./upstream/upstream-transport.js";
 
-/** Options of {@link WakeRefresh}. */
-export interface WakeRefreshOptions {
+/** Options of {@link StallRecovery}. */
+export interface StallRecoveryOptions {
     readonly log: EventLog;
     readonly transport: UpstreamTransport;
     /** This instance's part in the fleet; `undefined` while it works alone. */
@@ -19,14 +19,14 @@
 }
 
 /** Brings up to date what time made doubtful, after a process slept or its machine was suspended. */
-export class WakeRefresh {
+export class StallRecovery {
     private refreshing: Promise<unknown> | undefined;
 
     /** @param options - What is brought up to date. */
-    constructor(private readonly options: WakeRefreshOptions) {}
+    constructor(private readonly options: StallRecoveryOptions) {}
 
     /** Fulfilled when a refresh that is under way has ended; `undefined` while there is none. */
-    get ended(): Promise<unknown> | undefined {
+    get done(): Promise<unknown> | undefined {
         return this.refreshing;
     }
 
@@ -35,17 +35,17 @@
      *
      * @param sleptMs - How long the process slept.
      */
-    begin(sleptMs: number): void {
+    start(sleptMs: number): void {
         const { log, transport } = this.options;
         const fleet = this.options.fleet();
         log.write(events.wokeLate, { sleptMs });
-        fleet?.wakeLate(sleptMs);
-        if (sleptMs < minimumRefreshSleepMs) {
+        fleet?.resumeAfterStall(sleptMs);
+        if (sleptMs < minimumRefreshStallMs) {
             return;
         }
-        transport.dropIdle();
+        transport.closeIdle();
         if (fleet !== undefined) {
-            const refreshing = fleet.hearOthers(refreshTimeoutMs).finally(() => {
+            const refreshing = fleet.contactPeers(refreshTimeoutMs).finally(() => {
                 this.refreshing = this.refreshing === refreshing ? undefined : this.refreshing;
             });
             this.refreshing = refreshing;
--- a/packages/daemon/src/first-read.ts
+++ b/packages/daemon/src/startup-gate.ts
@@ -19,7 +19,7 @@
  * milliseconds before it knows a configuration; whoever was refused then came back a second later, too late for its
  * target. A request waits only while the first call is under way: when it fails, requests are refused at once.
  */
-export class FirstRead {
+export class StartupGate {
     private readonly waiting = new Set<() => void>();
     private hasEnded = false;
 
@@ -27,7 +27,7 @@
     constructor(private readonly clock: Clock) {}
 
     /** Notes that the first call has ended, well or not. */
-    end(): void {
+    open(): void {
         this.hasEnded = true;
         this.waiting.forEach(finish => finish());
     }
--- a/packages/daemon/src/telemetry/metrics.ts
+++ b/packages/daemon/src/telemetry/metrics.ts
@@ -56,7 +56,7 @@
     );
 
     /** Times that a decision left an upstream out because of the limit that it names. */
-    readonly upstreamsLimited = this.counter(
+    readonly upstreamsRateLimited = this.counter(
         "harrierhitch_upstreams_limited_total",
         "Times that a decision left an upstream out because of the limit that it names",
         ["service"],
@@ -73,7 +73,7 @@
     );
 
     /** Exchanges that had to wait because the one before over the same link was just now. */
-    readonly peersLimited = this.counter(
+    readonly exchangesLimited = this.counter(
         "harrierhitch_peer_exchanges_limited_total",
         "Exchanges with other instances held back by the limit of a link",
         [],
@@ -87,7 +87,7 @@
     );
 
     /** Requests that are withheld since this instance started, because upstreams ended under them. */
-    readonly requestsWithheld = this.counter(
+    readonly requestsQuarantined = this.counter(
         "harrierhitch_requests_withheld_total",
         "Requests found to end upstreams, and withheld since",
         [],
@@ -113,13 +113,13 @@
     readonly members = this.gauge("harrierhitch_members_alive", "Members of the fleet believed alive");
 
     /** Upstreams that are listed apart from the configuration. */
-    readonly listed = this.gauge("harrierhitch_listed_upstreams", "Upstreams listed apart from the configuration");
+    readonly discoveredUpstreams = this.gauge("harrierhitch_listed_upstreams", "Upstreams listed apart from the configuration");
 
     /** Availability zones that are out of service. */
     readonly zonesOut = this.gauge("harrierhitch_zones_out_of_service", "Availability zones out of service");
 
     /** Published entries that could not be read. */
-    readonly listingsInvalid = this.counter(
+    readonly invalidEntries = this.counter(
         "harrierhitch_listings_invalid_total",
         "Published entries that could not be read, and name no upstream to use",
         [],
@@ -129,7 +129,7 @@
     readonly reader = this.gauge("harrierhitch_platform_reader", "Whether this instance reads the platform now");
 
     /** Age of what is known of the platform; 0 while that is unknown. */
-    readonly knowledgeAge = this.gauge(
+    readonly platformStaleness = this.gauge(
         "harrierhitch_platform_knowledge_age_seconds",
         "Seconds since a moment as of which nothing that the platform told is missing",
     );
--- a/packages/daemon/src/telemetry/limited-lines.ts
+++ b/packages/daemon/src/telemetry/rate-limit-log.ts
@@ -10,8 +10,8 @@
 import { events } from "./event.js";
 import type { Metrics } from "./metrics.js";
 
-/** Options of {@link LimitedLines}. */
-export interface LimitedLinesOptions {
+/** Options of {@link RateLimitLog}. */
+export interface RateLimitLogOptions {
     readonly clock: Clock;
     readonly log: EventLog;
     readonly metrics: Metrics;
@@ -29,17 +29,17 @@
 const maximumKept = 1024;
 
 /** Counts decisions that left an upstream out, and writes one bounded line on each such upstream. */
-export class LimitedLines {
+export class RateLimitLog {
     private readonly told = new Map<string, Told>();
 
     /** @param options - Clock, log and counters. */
-    constructor(private readonly options: LimitedLinesOptions) {}
+    constructor(private readonly options: RateLimitLogOptions) {}
 
     /** Notes a decision. */
-    note(service: ServiceName, { upstreams }: DecisionInput, { exclusions }: Decision): void {
+    record(service: ServiceName, { upstreams }: DecisionInput, { exclusions }: Decision): void {
         upstreams.forEach((facts, index) => {
             if (exclusions[index] === "limited") {
-                this.options.metrics.upstreamsLimited.inc({ service });
+                this.options.metrics.upstreamsRateLimited.inc({ service });
                 this.tell(service, facts);
             }
         });
--- a/packages/daemon/src/telemetry/spans.ts
+++ b/packages/daemon/src/telemetry/spans.ts
@@ -31,7 +31,7 @@
  * @param record - The record of a request that was answered.
  * @param resource - What the spans say of this process.
  */
-export const spansOf = (record: DecisionRecord, resource: Resource): readonly ReadableSpan[] => {
+export const toSpans = (record: DecisionRecord, resource: Resource): readonly ReadableSpan[] => {
     const parts = [
         acceptParts(record),
         ...record.steps.flatMap((step, index) => stepParts(record, step, index)),
@@ -63,7 +63,7 @@
 
 const stepParts = (
     record: DecisionRecord,
-    { atMs, tookMs, decision, input }: DecisionStep,
+    { atMs, durationMs: tookMs, decision, input }: DecisionStep,
     index: number,
 ): readonly SpanParts[] => {
     const common = { kind: SpanKind.INTERNAL, parentSpanId: record.spanId, failed: decision.policyFailure !== undefined };
--- a/packages/daemon/src/telemetry/telemetry.ts
+++ b/packages/daemon/src/telemetry/telemetry.ts
@@ -7,10 +7,10 @@
 import { formatFinding } from "@harrierhitch/configuration";
 import type { Generation } from "@harrierhitch/core";
 import type { LimitChange, LimitPace } from "@harrierhitch/decision";
-import type { DirectoryChange, OfferResult, UpstreamDirectory, ZoneListing } from "@harrierhitch/published";
+import type { ApplyResult, DirectoryChange, UpstreamDirectory, ZoneStatus } from "@harrierhitch/published";
 import type { IncomingMessage } from "node:http";
-import type { HeardNotice } from "../request/answer-notice.js";
 import type { AttemptRecord, DecisionRecord } from "../request/decision-record.js";
+import type { ReceivedNotice } from "../request/response-notice.js";
 import type { StateChange } from "../upstream/service-registry.js";
 import type { EventLog } from "./event-log.js";
 import { events } from "./event.js";
@@ -25,7 +25,7 @@
     constructor(private readonly log: EventLog, private readonly metrics: Metrics) {}
 
     /** Tells what became of an offered configuration. */
-    offered(source: string, result: OfferResult, before: Generation | undefined): void {
+    configurationProcessed(source: string, result: ApplyResult, before: Generation | undefined): void {
         switch (result.type) {
             case "accepted":
                 this.metrics.generation.set(result.configuration.generation);
@@ -49,7 +49,7 @@
     }
 
     /** Tells of an attempt that has ended, with what the choice was made by. */
-    attempted(record: DecisionRecord, attempt: AttemptRecord): void {
+    attemptEnded(record: DecisionRecord, attempt: AttemptRecord): void {
         const service = record.route.service.name;
         const { result, upstream, outcome, startedMs, endedMs } = attempt;
         this.metrics.attempts.inc({ service, end: result?.end ?? "unknown" });
@@ -64,8 +64,8 @@
             end: result?.end,
             status: result?.status,
             outcome,
-            key: attempt.broken?.key,
-            port: attempt.broken?.port,
+            key: attempt.connectionLoss?.key,
+            port: attempt.connectionLoss?.port,
             detail: result?.detail === "" ? undefined : result?.detail,
             startedMs: Math.round(startedMs),
             endedMs: endedMs === undefined ? undefined : Math.round(endedMs),
@@ -82,14 +82,14 @@
                 crowding: rounded(facts.crowding),
                 failureRate: rounded(facts.failureRate),
                 score: rounded(step?.decision.scores[index] ?? 0),
-                isTrial: step?.isTrial === true ? true : undefined,
+                isTrial: step?.isExploration === true ? true : undefined,
             },
         });
     }
 
     /** Tells what an upstream asked of this instance in the head of an answer. */
-    noticed({ service, upstream, notice, request }: HeardNotice): void {
-        const { leaving, restMs, limit, unreadable } = notice;
+    noticeReceived({ service, upstream, notice, request }: ReceivedNotice): void {
+        const { draining: leaving, backoffMs: restMs, limit, invalidRetryAfter: unreadable } = notice;
         const from = { service, upstream: upstream.id, startedAtMs: upstream.startedAtMs, request };
         const count = (name: string): void => this.metrics.upstreamNotices.inc({ service, notice: name });
         if (leaving) {
@@ -120,7 +120,7 @@
      * @param change - What changed.
      * @param pace - How fast this instance may send there now; `undefined` where no limit holds.
      */
-    limitChanged({ upstream, startedAtMs, before, word }: LimitChange, pace: LimitPace | undefined): void {
+    limitChanged({ upstream, startedAtMs, before, notice: word }: LimitChange, pace: LimitPace | undefined): void {
         const { perSecond, sinceUnixMs, saidAtUnixMs, heardBy } = word;
         this.log.write(events.limitChanged, {
             upstream,
@@ -130,14 +130,14 @@
             sinceUnixMs,
             saidAtUnixMs,
             heardBy,
-            isSharer: pace?.isSharer,
-            sharers: pace?.sharers,
+            isSharer: pace?.isParticipant,
+            sharers: pace?.participants,
             gapMs: pace === undefined ? undefined : Math.round(pace.gapMs),
         });
     }
 
     /** Counts a request that was answered. */
-    served(record: DecisionRecord): void {
+    requestServed(record: DecisionRecord): void {
         const { route } = record;
         const labels = { service: route.service.name, kind: route.kind.name };
         this.metrics.requests.inc({ ...labels, outcome: record.outcome ?? "unknown" });
@@ -152,7 +152,7 @@
     }
 
     /** Tells of a request that no route matches. */
-    unrouted(request: IncomingMessage, path: string, generation: Generation): void {
+    requestUnrouted(request: IncomingMessage, path: string, generation: Generation): void {
         this.metrics.problems.inc({ problem: "no-route" });
         this.log.write(events.requestUnrouted, { method: request.method, host: request.headers.host, path, generation });
     }
@@ -161,7 +161,7 @@
      * Tells what the first read brought, in one line: a line for each of hundreds took a start longer, and the limit of
      * lines then dropped the one on the configuration.
      */
-    listingsRead({ upstreams, revision }: Pick<UpstreamDirectory, "upstreams" | "revision">): void {
+    directoryRead({ upstreams, revision }: Pick<UpstreamDirectory, "upstreams" | "revision">): void {
         const ids = Object.fromEntries(
             [...new Set(upstreams.map(({ service }) => service))].map(
                 name => [name, upstreams.filter(({ service }) => service === name).map(({ id }) => id)],
@@ -171,7 +171,7 @@
     }
 
     /** Tells of a listed upstream that came, changed or went. */
-    listingChanged({ upstream, before, after, revision }: DirectoryChange): void {
+    entryChanged({ upstream, before, after, revision }: DirectoryChange): void {
         if (listingState(before) === listingState(after)) {
             return;
         }
@@ -188,20 +188,20 @@
     }
 
     /** Tells of an availability zone that was taken out of service or put back. */
-    zoneChanged({ availabilityZone, isOut, revision }: ZoneListing): void {
+    zoneChanged({ availabilityZone, isOut, revision }: ZoneStatus): void {
         this.log.write(events.zoneChanged, { availabilityZone, after: isOut ? "out of service" : "in service", revision });
     }
 
     /** Tells of a change of an upstream's believed state. */
     stateChanged({ service, upstream, before, after }: StateChange): void {
         this.metrics.stateChanges.inc({ service, state: after.state });
-        const { failureRate, failuresInRow } = after;
+        const { failureRate, consecutiveFailures: failuresInRow } = after;
         const fields = { service, upstream, before: before.state, after: after.state, failureRate, failuresInRow };
         this.log.write(events.upstreamStateChanged, fields);
     }
 }
 
 const listingState = (upstream: DirectoryChange["after"]): string =>
-    upstream === undefined ? "absent" : upstream.leaving ? "leaving" : "ready";
+    upstream === undefined ? "absent" : upstream.draining ? "leaving" : "ready";
 
 const rounded = (value: number): number => Math.round(value * 1000) / 1000;
--- a/packages/daemon/src/telemetry/burst-line.ts
+++ b/packages/daemon/src/telemetry/threshold-log.ts
@@ -8,8 +8,8 @@
 import type { EventLog } from "./event-log.js";
 import type { EventKind } from "./event.js";
 
-/** Options of {@link BurstLine}. */
-export interface BurstLineOptions {
+/** Options of {@link ThresholdLog}. */
+export interface ThresholdLogOptions {
     readonly clock: Clock;
     readonly log: EventLog;
     readonly event: EventKind;
@@ -20,15 +20,15 @@
 }
 
 /** Counts occurrences, and writes a line when there are many in a short time. */
-export class BurstLine {
+export class ThresholdLog {
     private beganAtMs = -Infinity;
     private count = 0;
 
     /** @param options - What is counted, and how many are many. */
-    constructor(private readonly options: BurstLineOptions) {}
+    constructor(private readonly options: ThresholdLogOptions) {}
 
     /** Notes one occurrence. */
-    note(): void {
+    record(): void {
         const { clock, log, event, threshold, intervalMs } = this.options;
         const nowMs = clock.nowMs();
         if (nowMs - this.beganAtMs >= intervalMs) {
--- a/packages/daemon/src/telemetry/tracing.ts
+++ b/packages/daemon/src/telemetry/tracing.ts
@@ -11,7 +11,7 @@
 import type { DecisionRecord } from "../request/decision-record.js";
 import { version } from "../version.js";
 import { SpanQueue } from "./span-queue.js";
-import { spansOf } from "./spans.js";
+import { toSpans } from "./spans.js";
 
 /** Exports the spans of requests that are traced. */
 export interface Tracing {
@@ -43,7 +43,7 @@
         "cloud.availability_zone": settings.instance.availabilityZone,
     });
     return {
-        add: record => queue.add(spansOf(record, resource)),
+        add: record => queue.add(toSpans(record, resource)),
         close: () => queue.close(),
     };
 };
--- a/packages/daemon/src/upstream/open-registry.ts
+++ b/packages/daemon/src/upstream/create-service-registry.ts
@@ -6,28 +6,35 @@
 
 import type { InstanceId } from "@harrierhitch/core";
 import { LimitAdmission, SharedColdAdmission, UpstreamLimits, UpstreamNotices } from "@harrierhitch/decision";
-import type { ChosenDuties } from "../chosen-duties.js";
+import type { InstanceAssignments } from "../instance-assignments.js";
 import type { InstanceParts } from "../instance-parts.js";
 import type { Telemetry } from "../telemetry/telemetry.js";
 import { ServiceRegistry, type ServiceRegistryOptions } from "./service-registry.js";
 
-/** Options of {@link openRegistry}. */
-export interface OpenRegistryOptions extends Pick<ServiceRegistryOptions, "onStateChange" | "onUrgentWord"> {
+/** Options of {@link createServiceRegistry}. */
+export interface CreateServiceRegistryOptions extends Pick<ServiceRegistryOptions, "onStateChange" | "onUrgentNotice"> {
     readonly parts: InstanceParts;
     readonly instance: InstanceId;
-    readonly duties: ChosenDuties;
+    readonly assignments: InstanceAssignments;
     readonly telemetry: Telemetry;
 }
 
 /** The state of all services, and what it shares with other instances. */
-export interface OpenedRegistry {
+export interface RegistryParts {
     readonly services: ServiceRegistry;
     readonly limits: UpstreamLimits;
 }
 
 /** Opens it. */
-export const openRegistry = (options: OpenRegistryOptions): OpenedRegistry => {
-    const { parts: { settings, clock, random }, instance, duties, telemetry, onStateChange, onUrgentWord } = options;
+export const createServiceRegistry = (options: CreateServiceRegistryOptions): RegistryParts => {
+    const {
+        parts: { settings, clock, random },
+        instance,
+        assignments: duties,
+        telemetry,
+        onStateChange,
+        onUrgentNotice: onUrgentWord,
+    } = options;
     const limits = new UpstreamLimits({
         clock,
         instance,
@@ -46,9 +53,9 @@
         notices: new UpstreamNotices({ clock }),
         limits,
         limitAdmission,
-        coldAdmission: new SharedColdAdmission({ clock, sharersOf: upstream => duties.sharersOf(upstream) }),
+        coldAdmission: new SharedColdAdmission({ clock, participantsOf: upstream => duties.participantsOf(upstream) }),
         onStateChange,
-        onUrgentWord,
+        onUrgentNotice: onUrgentWord,
     });
     return { services, limits };
 };
--- a/packages/daemon/src/upstream/http-attempt.ts
+++ b/packages/daemon/src/upstream/http-attempt.ts
@@ -10,7 +10,7 @@
 import type { Socket } from "node:net";
 import { Readable } from "node:stream";
 import type { UpstreamAgent } from "./upstream-agent.js";
-import type { AnswerSink, Attempt, UpstreamRequest, UpstreamTarget } from "./upstream-transport.js";
+import type { Attempt, ResponseSink, UpstreamRequest, UpstreamTarget } from "./upstream-transport.js";
 
 /** This side gave up on an attempt. */
 export class AttemptCancelledError extends HarrierhitchError {
@@ -65,7 +65,7 @@
         private readonly target: UpstreamTarget,
         private readonly agent: UpstreamAgent,
         private readonly outgoing: UpstreamRequest,
-        private readonly sink: AnswerSink,
+        private readonly sink: ResponseSink,
     ) {
         this.result = new Promise(resolve => {
             this.settle = resolve;
@@ -145,7 +145,7 @@
             return;
         }
         this.answer = answer;
-        this.agent.noteIdleTime(answer.socket, answer.headers["keep-alive"] as string | undefined);
+        this.agent.recordIdleTimeout(answer.socket, answer.headers["keep-alive"] as string | undefined);
         answer.on("error", error => this.onError(error));
         answer.on("data", (chunk: Buffer) => this.onData(chunk));
         answer.on("end", () => this.onEnd());
--- a/packages/daemon/src/upstream/http-transport.ts
+++ b/packages/daemon/src/upstream/http-transport.ts
@@ -6,11 +6,11 @@
 
 import type { Upstream } from "@harrierhitch/configuration";
 import type { UpstreamId } from "@harrierhitch/core";
-import { isSameStart } from "@harrierhitch/decision";
+import { isSameIncarnation } from "@harrierhitch/decision";
 import { checkPort, type PortState } from "./check-port.js";
 import { HttpAttempt } from "./http-attempt.js";
 import { UpstreamAgent } from "./upstream-agent.js";
-import type { AnswerSink, Attempt, UpstreamRequest, UpstreamTarget, UpstreamTransport } from "./upstream-transport.js";
+import type { Attempt, ResponseSink, UpstreamRequest, UpstreamTarget, UpstreamTransport } from "./upstream-transport.js";
 
 interface AgentEntry {
     readonly agent: UpstreamAgent;
@@ -38,7 +38,7 @@
         });
     }
 
-    send(upstream: Upstream, request: UpstreamRequest, sink: AnswerSink): Attempt {
+    send(upstream: Upstream, request: UpstreamRequest, sink: ResponseSink): Attempt {
         const entry = this.agents.get(upstream.id);
         if (entry === undefined) {
             const detail = `there are no connections to ${upstream.id}`;
@@ -52,8 +52,8 @@
         return checkPort(upstream);
     }
 
-    dropIdle(): void {
-        this.agents.forEach(entry => entry.agent.dropIdle());
+    closeIdle(): void {
+        this.agents.forEach(entry => entry.agent.closeIdle());
     }
 
     close(): Promise<void> {
@@ -67,6 +67,6 @@
 };
 
 const sameTarget = (a: UpstreamTarget, b: UpstreamTarget): boolean =>
-    isSameStart(a.upstream, b.upstream)
+    isSameIncarnation(a.upstream, b.upstream)
     && a.connections === b.connections
     && a.connectTimeoutMs === b.connectTimeoutMs;
--- a/packages/daemon/src/upstream/shares.ts
+++ b/packages/daemon/src/upstream/instance-budgets.ts
@@ -7,11 +7,11 @@
 import type { Configuration, Settings } from "@harrierhitch/configuration";
 
 /** What one instance may spend. */
-export interface Shares {
+export interface InstanceBudgets {
     /** Attempts beyond the first, earned by each request. */
     readonly retryShare: number;
     /** Most of them that are saved up for each service. */
-    readonly retriesSaved: number;
+    readonly retryBurst: number;
     /** Probes of one upstream, for each second. */
     readonly probesPerSecond: number;
 }
@@ -35,19 +35,23 @@
  * @param members - Instances that may be running as far as is known; `undefined` for one that works alone. Fewer than
  *   the configured number count as that number, since whoever has just started knows few.
  */
-export const sharesOf = (configuration: Configuration, budgets: Settings["budgets"], members: number | undefined): Shares => {
+export const divideBudgets = (
+    configuration: Configuration,
+    budgets: Settings["budgets"],
+    members: number | undefined,
+): InstanceBudgets => {
     const { fleet } = configuration;
     const instances = Math.max(1, fleet.maximumInstances, members ?? 0);
     if (budgets === undefined) {
         return {
             retryShare: fleet.retryPercent / 100,
-            retriesSaved: defaultRetriesSaved,
+            retryBurst: defaultRetriesSaved,
             probesPerSecond: fleet.probesPerSecond / instances,
         };
     }
     return {
         retryShare: budgets.retryShare * usedShare,
-        retriesSaved: Math.max(minimumRetriesSaved, budgets.retrySlack * usedShare / instances),
+        retryBurst: Math.max(minimumRetriesSaved, budgets.retrySlack * usedShare / instances),
         probesPerSecond: budgets.probesPerSecond * usedShare / instances,
     };
 };
--- a/packages/daemon/src/upstream/silent-services.ts
+++ b/packages/daemon/src/upstream/probe-suppression.ts
@@ -13,7 +13,7 @@
 const pauseMs = 10_000;
 
 /** Keeps probes from services that tell nothing, where they would only cost time. */
-export class SilentServices {
+export class ProbeSuppression {
     private readonly counts = new Map<ServiceName, number>();
     private readonly pausedUntilMs = new Map<ServiceName, number>();
 
@@ -21,12 +21,12 @@
     constructor(private readonly clock: Clock) {}
 
     /** Whether a service is not worth asking now. */
-    includes(service: ServiceName): boolean {
+    isSuppressed(service: ServiceName): boolean {
         return this.clock.nowMs() < (this.pausedUntilMs.get(service) ?? 0);
     }
 
     /** Notes how a probe of a service ended; one that failed says nothing of the others. */
-    note(service: ServiceName, result: "told" | "silent" | "failed"): void {
+    recordResult(service: ServiceName, result: "told" | "silent" | "failed"): void {
         if (result === "told") {
             this.counts.delete(service);
         }
--- a/packages/daemon/src/upstream/prober.ts
+++ b/packages/daemon/src/upstream/prober.ts
@@ -6,26 +6,26 @@
 
 import type { Service } from "@harrierhitch/configuration";
 import type { Clock, UpstreamId } from "@harrierhitch/core";
-import type { KnownUpstream } from "@harrierhitch/decision";
+import type { UpstreamEntry } from "@harrierhitch/decision";
 import type { IncomingHttpHeaders } from "node:http";
-import type { HeardNotice } from "../request/answer-notice.js";
-import type { Dialect } from "../request/dialect.js";
-import { takeIn } from "../request/take-in.js";
+import { applyResponse } from "../request/apply-response.js";
+import type { HeaderProtocol } from "../request/header-protocol.js";
+import type { ReceivedNotice } from "../request/response-notice.js";
 import type { ProbeBudget } from "./probe-budget.js";
+import { ProbeSuppression } from "./probe-suppression.js";
 import type { ServiceRuntime } from "./service-runtime.js";
-import { SilentServices } from "./silent-services.js";
 import type { UpstreamTransport } from "./upstream-transport.js";
 
 /** Options of {@link Prober}. */
 export interface ProberOptions {
     readonly clock: Clock;
     readonly transport: UpstreamTransport;
-    readonly dialect: Dialect;
+    readonly headerProtocol: HeaderProtocol;
     readonly budget: ProbeBudget;
     /** Told of each probe that was sent, and of how it ended. */
     readonly onProbe: (service: Service, result: ProbeResult) => void;
     /** Told of what an upstream asks of this instance in its answer to a probe. */
-    readonly onNotice: (notice: HeardNotice) => void;
+    readonly onNotice: (notice: ReceivedNotice) => void;
 }
 
 /** How a probe ended. */
@@ -35,14 +35,14 @@
 export type ProbeOutcome = "told" | "silent" | "failed";
 
 /** One question to several upstreams. */
-export interface ProbeQuestion {
+export interface ProbeRequest {
     readonly service: Service;
     readonly runtime: ServiceRuntime;
-    readonly upstreams: readonly KnownUpstream[];
+    readonly upstreams: readonly UpstreamEntry[];
     /** Longest time for which the answers are waited for. */
     readonly timeoutMs: number;
     /** Asked after each answer: whether the others need not be waited for. */
-    readonly isEnough: () => boolean;
+    readonly isSufficient: () => boolean;
 }
 
 /** Age below which a report is as good as a new answer. */
@@ -54,15 +54,15 @@
 /** Probes a few upstreams in parallel; requests that want to know the same share the answer. */
 export class Prober {
     private readonly asking = new Map<UpstreamId, Promise<void>>();
-    private readonly silence: SilentServices;
+    private readonly silence: ProbeSuppression;
 
     /** @param options - Transport, budget and dialect. */
     constructor(private readonly options: ProberOptions) {
-        this.silence = new SilentServices(options.clock);
+        this.silence = new ProbeSuppression(options.clock);
     }
 
     /** Whether an upstream may be asked now: the budget allows it, or others are asking it already. */
-    mayAsk(upstream: UpstreamId): boolean {
+    canProbe(upstream: UpstreamId): boolean {
         return this.asking.has(upstream) || this.options.budget.canTake(upstream);
     }
 
@@ -70,11 +70,11 @@
      * Brings the beliefs about some upstreams up to date, as far as they answer in
      * time. Answers that come later are still learned from.
      */
-    async ask(question: ProbeQuestion): Promise<void> {
-        if (this.silence.includes(question.service.name)) {
+    async probe(question: ProbeRequest): Promise<void> {
+        if (this.silence.isSuppressed(question.service.name)) {
             return;
         }
-        const probes = question.upstreams.flatMap(upstream => this.probe(question, upstream) ?? []);
+        const probes = question.upstreams.flatMap(upstream => this.startProbe(question, upstream) ?? []);
         if (probes.length === 0) {
             return;
         }
@@ -83,18 +83,18 @@
             endWait = resolve;
         });
         const timer = this.options.clock.after(question.timeoutMs, endWait);
-        probes.forEach(probe => void probe.then(() => question.isEnough() ? endWait() : undefined));
+        probes.forEach(probe => void probe.then(() => question.isSufficient() ? endWait() : undefined));
         await Promise.race([Promise.all(probes), patience]);
         timer.cancel();
     }
 
-    private probe(question: ProbeQuestion, upstream: KnownUpstream): Promise<void> | undefined {
+    private startProbe(question: ProbeRequest, upstream: UpstreamEntry): Promise<void> | undefined {
         const { clock, budget, onProbe } = this.options;
         const running = this.asking.get(upstream.id);
         if (running !== undefined) {
             return running;
         }
-        const reportedAtMs = question.runtime.beliefs.reportedAtMs(upstream.id);
+        const reportedAtMs = question.runtime.tracker.lastReportAtMs(upstream.id);
         if (reportedAtMs !== undefined && clock.nowMs() - reportedAtMs < freshMs) {
             return undefined;
         }
@@ -107,7 +107,7 @@
         return probe;
     }
 
-    private async send({ service, runtime }: ProbeQuestion, upstream: KnownUpstream): Promise<void> {
+    private async send({ service, runtime }: ProbeRequest, upstream: UpstreamEntry): Promise<void> {
         const { clock, transport, onProbe } = this.options;
         const answer: { outcome: ProbeOutcome; } = { outcome: "failed" };
         const sentAtMs = clock.nowMs();
@@ -116,7 +116,7 @@
             path: service.probePath ?? "/",
             headers: ["host", `${upstream.address}:${upstream.port}`],
             body: undefined,
-            mayBegin: () => runtime.beliefs.takesWork(upstream),
+            mayBegin: () => runtime.tracker.acceptsRequests(upstream),
         };
         const attempt = transport.send(upstream, request, {
             onHead: (status, headers) => {
@@ -130,19 +130,19 @@
         timer.cancel();
         // A load that was told holds whatever becomes of the rest of the answer.
         const result = end === "answered" || answer.outcome === "told" ? answer.outcome : "failed";
-        this.silence.note(service.name, result);
+        this.silence.recordResult(service.name, result);
         onProbe(service, result);
     }
 
     private learn(
-        { service, runtime: { beliefs } }: Pick<ProbeQuestion, "service" | "runtime">,
-        upstream: KnownUpstream,
+        { service, runtime: { tracker: beliefs } }: Pick<ProbeRequest, "service" | "runtime">,
+        upstream: UpstreamEntry,
         status: number,
         headers: IncomingHttpHeaders,
         sentAtMs: number,
     ): ProbeOutcome {
-        const { clock, dialect, onNotice } = this.options;
-        const reading = dialect.readAnswer({
+        const { clock, headerProtocol: dialect, onNotice } = this.options;
+        const reading = dialect.readResponseHead({
             status,
             headers,
             service,
@@ -151,7 +151,7 @@
         });
         const { load, misdirected, notice } = reading;
         onNotice({ service: service.name, upstream, notice, request: undefined });
-        takeIn({ clock, beliefs, upstream, reading, sentAtMs, isProbe: true });
+        applyResponse({ clock, tracker: beliefs, upstream, response: reading, sentAtMs, isProbe: true });
         if (misdirected) {
             return "failed";
         }
@@ -159,6 +159,6 @@
             return "told";
         }
         // One that asks to be left alone says nothing of whether its service tells its load.
-        return notice.restMs === undefined ? "silent" : "failed";
+        return notice.backoffMs === undefined ? "silent" : "failed";
     }
 }
--- a/packages/daemon/src/upstream/return-turns.ts
+++ b/packages/daemon/src/upstream/retry-after-schedule.ts
@@ -12,7 +12,7 @@
 const secondMs = 1000;
 
 /** Gives each caller that is turned away a turn of its own, at the rate at which upstreams take requests. */
-export class ReturnTurns {
+export class RetryAfterSchedule {
     private lastAtMs = -Infinity;
     private turnedAwayAtMs: number | undefined;
 
@@ -30,17 +30,17 @@
     }
 
     /** Milliseconds since a caller who could still be in time was turned away; -1 if none was. */
-    get turnedAwayMs(): number {
+    get lastRejectionAgeMs(): number {
         return this.turnedAwayAtMs === undefined ? -1 : this.clock.nowMs() - this.turnedAwayAtMs;
     }
 
     /** Notes that a caller was turned away who could still have been in time. */
-    noteTurnedAway(): void {
+    recordRejection(): void {
         this.turnedAwayAtMs = this.clock.nowMs();
     }
 
     /** Notes that a caller was told to come back after some time, and will in its time. */
-    note(afterMs: number): void {
+    recordRetryAfter(afterMs: number): void {
         this.lastAtMs = Math.max(this.lastAtMs, this.clock.nowMs() + afterMs);
     }
 }
