--- a/packages/daemon/src/upstream/service-registry.ts
+++ b/packages/daemon/src/upstream/service-registry.ts
@@ -4,21 +4,21 @@
  * @packageDocumentation
  */
 
-import type { Configuration, ListedUpstream, Service } from "@harrierhitch/configuration";
+import type { Configuration, DiscoveredUpstream, Service } from "@harrierhitch/configuration";
 import type { Clock, ServiceName, UpstreamId } from "@harrierhitch/core";
 import {
-    type Belief,
     type ColdAdmission,
-    type KnownUpstream,
     type LimitAdmission,
     RetryBudget,
-    ServiceBeliefs,
+    type UpstreamEntry,
+    type UpstreamEstimate,
     type UpstreamLimits,
     type UpstreamNotices,
+    UpstreamTracker,
 } from "@harrierhitch/decision";
 import { HoldQueue } from "../request/hold-queue.js";
+import type { InstanceBudgets } from "./instance-budgets.js";
 import { ServiceRuntime } from "./service-runtime.js";
-import type { Shares } from "./shares.js";
 import type { UpstreamTarget } from "./upstream-transport.js";
 
 /** A change of an upstream's believed state. */
@@ -27,8 +27,8 @@
     readonly upstream: UpstreamId;
     /** The start of it that is meant, in milliseconds since the Unix epoch; 0 when it is not known. */
     readonly startedAtMs: number;
-    readonly before: Belief;
-    readonly after: Belief;
+    readonly before: UpstreamEstimate;
+    readonly after: UpstreamEstimate;
 }
 
 /** Attempts beyond the first that a start grants: few, because each of many instances that are restarted together gets them. */
@@ -48,14 +48,14 @@
     /** Admits requests to those that do. */
     readonly limitAdmission: LimitAdmission;
     /** Told that an upstream said something that other instances should hear at once. */
-    readonly onUrgentWord: () => void;
+    readonly onUrgentNotice: () => void;
 }
 
 /** What a registry is brought up to date by. */
 export interface RegistryUpdate {
     readonly configuration: Configuration;
     /** Upstreams that are listed apart from the configuration. */
-    readonly listed: readonly ListedUpstream[];
+    readonly discovered: readonly DiscoveredUpstream[];
 }
 
 /** Keeps a {@link ServiceRuntime} for each configured service. */
@@ -66,20 +66,22 @@
     constructor(private readonly options: ServiceRegistryOptions) {}
 
     /** Takes over an accepted configuration or a changed listing; states of what stays are kept. */
-    configure({ configuration, listed }: RegistryUpdate): void {
+    configure({ configuration, discovered: listed }: RegistryUpdate): void {
         const { maximumInstances } = configuration.fleet;
         this.runtimes = new Map([...configuration.services.values()].map(service => {
             const runtime = this.runtimes.get(service.name) ?? this.create(service.name);
             const own = listed.filter(upstream => upstream.service === service.name);
-            runtime.beliefs.configure(service, maximumInstances, knownUpstreams(service, own));
+            runtime.tracker.configure(service, maximumInstances, knownUpstreams(service, own));
             const atMs = this.options.clock.nowMs();
-            own.filter(upstream => upstream.leaving).forEach(({ id }) => runtime.beliefs.observe(id, { type: "draining", atMs }));
+            own.filter(upstream => upstream.draining).forEach(({ id }) =>
+                runtime.tracker.observe(id, { type: "draining", atMs })
+            );
             return [service.name, runtime];
         }));
     }
 
     /** Sets this instance's shares of the fleet's budgets. */
-    applyShares({ retryShare, retriesSaved }: Shares): void {
+    applyBudgets({ retryShare, retryBurst: retriesSaved }: InstanceBudgets): void {
         this.runtimes.forEach(({ retryBudget }) => retryBudget.configure(retryShare, retriesSaved));
     }
 
@@ -90,12 +92,12 @@
      * @param startedAtMs - The start that leaves, in milliseconds since the Unix epoch; 0 when it is not known.
      * @param atMs - When that was learned, on this instance's clock.
      */
-    noteLeaving(upstream: UpstreamId, startedAtMs: number, atMs: number): void {
-        const owner = this.all().find(({ beliefs }) => beliefs.find(upstream) !== undefined);
+    recordDraining(upstream: UpstreamId, startedAtMs: number, atMs: number): void {
+        const owner = this.all().find(({ tracker: beliefs }) => beliefs.find(upstream) !== undefined);
         if (owner === undefined) {
-            this.options.notices.noteLeaving({ id: upstream, startedAtMs }, 0);
+            this.options.notices.recordDraining({ id: upstream, startedAtMs }, 0);
         }
-        owner?.beliefs.observe(upstream, { type: "draining", atMs }, startedAtMs);
+        owner?.tracker.observe(upstream, { type: "draining", atMs }, startedAtMs);
     }
 
     /** The runtime of a service. */
@@ -110,24 +112,24 @@
 
     private create(name: ServiceName): ServiceRuntime {
         const { clock, onStateChange } = this.options;
-        const beliefs = new ServiceBeliefs({
+        const beliefs = new UpstreamTracker({
             ...this.options,
             onStateChange: ({ id, startedAtMs = 0 }, before, after) =>
                 onStateChange({ service: name, upstream: id, startedAtMs, before, after }),
         });
-        const retryBudget = new RetryBudget({ share: 0, maximumSaved: retriesSavedAtStart });
+        const retryBudget = new RetryBudget({ ratio: 0, maximumBalance: retriesSavedAtStart });
         return new ServiceRuntime(name, beliefs, new HoldQueue(clock), retryBudget, clock);
     }
 }
 
 /** The upstreams of a service: those of the configuration, and those that are listed. */
-const knownUpstreams = (service: Service, listed: readonly ListedUpstream[]): readonly KnownUpstream[] => [
+const knownUpstreams = (service: Service, listed: readonly DiscoveredUpstream[]): readonly UpstreamEntry[] => [
     ...service.upstreams,
     ...listed,
 ];
 
 /** The upstreams of all services with the limits of their connections. */
-export const toTargets = ({ configuration, listed }: RegistryUpdate): readonly UpstreamTarget[] =>
+export const toTargets = ({ configuration, discovered: listed }: RegistryUpdate): readonly UpstreamTarget[] =>
     [...configuration.services.values()].flatMap(service =>
         knownUpstreams(service, listed.filter(upstream => upstream.service === service.name)).map(upstream => ({
             upstream,
--- a/packages/daemon/src/upstream/service-runtime.ts
+++ b/packages/daemon/src/upstream/service-runtime.ts
@@ -6,59 +6,59 @@
 
 import type { Clock, ServiceName } from "@harrierhitch/core";
 import {
-    bestTime,
-    mayBeChosen,
+    CallerTimeoutEstimator,
+    headroomAtBest,
+    headroomInMs,
+    isEligible,
+    LatencyBaselines,
+    minExpectedTime,
     type RetryBudget,
-    roomAtBest,
-    roomInMs,
-    type ServiceBeliefs,
-    UsualPatience,
-    UsualTimes,
+    type UpstreamTracker,
 } from "@harrierhitch/decision";
 import type { ServiceFacts, UpstreamFacts } from "@harrierhitch/policy";
 import type { HoldQueue } from "../request/hold-queue.js";
-import { ReturnTurns } from "./return-turns.js";
+import { RetryAfterSchedule } from "./retry-after-schedule.js";
 
 /** Beliefs, queue and turn of one service; it outlives configurations. */
 export class ServiceRuntime {
     /** How long work usually takes, by kind. */
-    readonly usualTimes: UsualTimes;
+    readonly latencyBaselines: LatencyBaselines;
     /** How long callers usually wait, by kind. */
-    readonly usualPatience = new UsualPatience();
+    readonly callerTimeouts = new CallerTimeoutEstimator();
     /** When callers come back that are turned away because upstreams name limits. */
-    readonly returns: ReturnTurns;
+    readonly retryAfterSchedule: RetryAfterSchedule;
     private turns = 0;
 
     /**
      * @param name - The service.
-     * @param beliefs - What is believed of its upstreams.
+     * @param tracker - What is believed of its upstreams.
      * @param queue - Its requests that are held back.
      * @param retryBudget - Its attempts beyond the first of each request.
      * @param clock - The clock.
      */
     constructor(
         readonly name: ServiceName,
-        readonly beliefs: ServiceBeliefs,
+        readonly tracker: UpstreamTracker,
         readonly queue: HoldQueue,
         readonly retryBudget: RetryBudget,
         clock: Clock,
     ) {
-        this.usualTimes = new UsualTimes(clock);
-        this.returns = new ReturnTurns(clock);
+        this.latencyBaselines = new LatencyBaselines(clock);
+        this.retryAfterSchedule = new RetryAfterSchedule(clock);
     }
 
     /** Time until an upstream is expected to have room, if nobody else sends anything, in milliseconds. */
-    roomInMs(upstreams: readonly UpstreamFacts[], tried: readonly string[]): number {
-        return roomInMs(upstreams, tried, this.beliefs.residenceMs);
+    headroomInMs(upstreams: readonly UpstreamFacts[], tried: readonly string[]): number {
+        return headroomInMs(upstreams, tried, this.tracker.residenceMs);
     }
 
     /** Running number of the next decision. */
-    get turn(): number {
+    get sequence(): number {
         return this.turns + 1;
     }
 
     /** Notes that a decision was taken. */
-    nextTurn(): void {
+    advanceSequence(): void {
         this.turns += 1;
     }
 
@@ -72,21 +72,21 @@
     facts(upstreams: readonly UpstreamFacts[], tried: readonly string[], askable: number): ServiceFacts {
         return {
             name: this.name,
-            inFlight: this.beliefs.inFlight,
+            inFlight: this.tracker.inFlight,
             queued: this.queue.length,
-            candidates: upstreams.filter(mayBeChosen).length,
-            bestTime: bestTime(upstreams, tried),
-            ...roomAtBest(upstreams, tried),
+            candidates: upstreams.filter(isEligible).length,
+            bestTime: minExpectedTime(upstreams, tried),
+            ...headroomAtBest(upstreams, tried),
             askable,
             returnInMs: this.returnInMs,
-            turnedAwayMs: this.returns.turnedAwayMs,
-            upstreams: this.beliefs.size,
+            turnedAwayMs: this.retryAfterSchedule.lastRejectionAgeMs,
+            upstreams: this.tracker.size,
         };
     }
 
     /** Milliseconds until there is room for one more caller that is turned away; 0 where no upstream names a limit. */
     private get returnInMs(): number {
-        const { limitedPerSecond } = this.beliefs;
-        return limitedPerSecond === undefined ? 0 : this.returns.nextInMs(limitedPerSecond);
+        const { permittedPerSecond: limitedPerSecond } = this.tracker;
+        return limitedPerSecond === undefined ? 0 : this.retryAfterSchedule.nextInMs(limitedPerSecond);
     }
 }
--- a/packages/daemon/src/upstream/upstream-agent.ts
+++ b/packages/daemon/src/upstream/upstream-agent.ts
@@ -34,7 +34,7 @@
     }
 
     /** Notes the idle time that an answer names in its header `Keep-Alive`. */
-    noteIdleTime(socket: Socket, header: string | undefined): void {
+    recordIdleTimeout(socket: Socket, header: string | undefined): void {
         const seconds = /timeout=(\d+)/.exec(header ?? "")?.[1];
         if (seconds !== undefined) {
             this.namedMs.set(socket, Number(seconds) * 1000 * keepAliveShare);
@@ -44,11 +44,11 @@
     /** Keeps no connection any longer; requests in flight go on. */
     retire(): void {
         this.retired = true;
-        this.dropIdle();
+        this.closeIdle();
     }
 
     /** Closes connections that no request uses. */
-    dropIdle(): void {
+    closeIdle(): void {
         Object.values(this.freeSockets).flat().forEach(socket => socket?.destroy());
     }
 
--- a/packages/daemon/src/upstream/upstream-transport.ts
+++ b/packages/daemon/src/upstream/upstream-transport.ts
@@ -5,7 +5,7 @@
  */
 
 import type { Upstream } from "@harrierhitch/configuration";
-import type { AttemptResult, KnownUpstream } from "@harrierhitch/decision";
+import type { AttemptResult, UpstreamEntry } from "@harrierhitch/decision";
 import type { IncomingHttpHeaders } from "node:http";
 import type { Readable } from "node:stream";
 import type { PortState } from "./check-port.js";
@@ -23,7 +23,7 @@
 }
 
 /** Takes the answer of one attempt as it arrives. */
-export interface AnswerSink {
+export interface ResponseSink {
     /**
      * Takes the head of the answer.
      *
@@ -44,27 +44,27 @@
     readonly result: Promise<AttemptResult>;
     /** Gives up; the connection is closed and never used again. */
     cancel(end: "timed-out" | "cancelled"): void;
-    /** Goes on after {@link AnswerSink.onData} asked to wait. */
+    /** Goes on after {@link ResponseSink.onData} asked to wait. */
     resume(): void;
 }
 
 /** Sends requests to upstreams. */
 export interface UpstreamTransport {
     /** Starts an attempt. */
-    send(upstream: Upstream, request: UpstreamRequest, sink: AnswerSink): Attempt;
+    send(upstream: Upstream, request: UpstreamRequest, sink: ResponseSink): Attempt;
     /** Looks whether anyone listens at an upstream's address; never rejects. */
     checkPort(upstream: Upstream): Promise<PortState>;
     /** Opens and closes pools so that just these upstreams have one. */
     configure(upstreams: readonly UpstreamTarget[]): void;
     /** Closes connections that no request uses: after a sleep their upstreams may have closed them, unnoticed here. */
-    dropIdle(): void;
+    closeIdle(): void;
     /** Closes all connections once they are idle. */
     close(): Promise<void>;
 }
 
 /** An upstream with the limits of its connections. */
 export interface UpstreamTarget {
-    readonly upstream: KnownUpstream;
+    readonly upstream: UpstreamEntry;
     readonly connections: number;
     readonly connectTimeoutMs: number;
 }
--- a/packages/daemon/test/named-limit.test.ts
+++ b/packages/daemon/test/announced-limit.test.ts
@@ -4,12 +4,12 @@
 
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
-import { type LimitReading, readLimit } from "../src/request/named-limit.js";
+import { type ParsedLimit, readLimit } from "../src/request/announced-limit.js";
 
-const named = (perSecond: number): LimitReading => ({ type: "named", perSecond });
-const unreadable = (text: string): LimitReading => ({ type: "unreadable", text });
+const named = (perSecond: number): ParsedLimit => ({ type: "named", perSecond });
+const unreadable = (text: string): ParsedLimit => ({ type: "unreadable", text });
 
-const cases: readonly (readonly [name: string, header: string | readonly string[] | undefined, reading: LimitReading])[] = [
+const cases: readonly (readonly [name: string, header: string | readonly string[] | undefined, reading: ParsedLimit])[] = [
     ["no header", undefined, { type: "none" }],
     ["a whole number", "12", named(12)],
     ["a fraction", "3.6", named(3.6)],
--- a/packages/daemon/test/budgets.test.ts
+++ b/packages/daemon/test/budgets.test.ts
@@ -3,7 +3,7 @@
 import fc from "fast-check";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { SpreadDraws } from "../src/spread-draws.js";
+import { LowDiscrepancySequence } from "../src/low-discrepancy-sequence.js";
 import { ProbeBudget } from "../src/upstream/probe-budget.js";
 
 /** Seconds for which probes are saved up; the most that any window may see beyond its own share. */
@@ -38,14 +38,14 @@
         fc.property(fc.array(fc.constantFrom("request", "retry"), { maxLength: 400 }), events => {
             const share = 0.17;
             const saved = 1.4;
-            const budget = new RetryBudget({ share });
+            const budget = new RetryBudget({ ratio: share });
             budget.configure(share, saved);
             const taken = events.map(event => {
                 if (event === "request") {
-                    budget.earn();
+                    budget.deposit();
                     return "request";
                 }
-                return budget.take() ? "retry" : "none";
+                return budget.tryWithdraw() ? "retry" : "none";
             });
             for (let from = 0; from < taken.length; from += 7) {
                 const window = taken.slice(from, from + 50);
@@ -59,7 +59,7 @@
 });
 
 test("any stretch of spread draws holds the shares of a split", () => {
-    const draws = new SpreadDraws({ next: () => 0.77 });
+    const draws = new LowDiscrepancySequence({ next: () => 0.77 });
     const numbers = Array.from({ length: 300 }, () => draws.next("route"));
     [0, 50, 130].forEach(from => {
         const share = numbers.slice(from, from + 60).filter(number => number < 0.9).length / 60;
--- a/packages/daemon/test/model/model-dialect.ts
+++ b/packages/daemon/test/model/model-dialect.ts
@@ -2,12 +2,12 @@
  * How callers and modelled upstreams say things.
  */
 
-import type { Configuration, Kind } from "@harrierhitch/configuration";
+import type { Configuration, RequestKind } from "@harrierhitch/configuration";
 import type { IncomingMessage } from "node:http";
-import { readRest } from "../../src/request/answer-notice.js";
-import { type Arrival, numberHeader, pathOf } from "../../src/request/arrival.js";
-import type { AnswerHead, AnswerReading, Dialect, LoadReport } from "../../src/request/dialect.js";
-import { readLimit } from "../../src/request/named-limit.js";
+import { readLimit } from "../../src/request/announced-limit.js";
+import type { HeaderProtocol, LoadReport, ParsedResponse, ResponseHead } from "../../src/request/header-protocol.js";
+import { numberHeader, pathOf, type RequestMetadata } from "../../src/request/request-metadata.js";
+import { readBackoff } from "../../src/request/response-notice.js";
 import { modelLeavingHeader, modelLimitHeader, modelLoadHeader } from "./model-transport.js";
 
 /** Header with the milliseconds for which a caller will wait. */
@@ -21,34 +21,34 @@
     return { inFlight: running + waiting, slots, slowness };
 };
 
-/** The {@link Dialect} of the model. */
-export const modelDialect: Dialect = {
-    readArrival: (request: IncomingMessage, _: Configuration, kind: Kind): Arrival => {
+/** The {@link HeaderProtocol} of the model. */
+export const modelDialect: HeaderProtocol = {
+    readRequestMetadata: (request: IncomingMessage, _: Configuration, kind: RequestKind): RequestMetadata => {
         const patienceMs = numberHeader(request, modelPatienceHeader);
         return {
             timeoutMs: Math.min(patienceMs ?? kind.timeoutMs, kind.timeoutMs),
-            patienceMs,
+            callerTimeoutMs: patienceMs,
             workspace: "",
             depth: 0,
             path: pathOf(request.url ?? "/"),
         };
     },
     attemptHeaders: () => ({}),
-    retryAfter: delayMs => String(delayMs / 1000),
-    readAnswer: ({ status, headers }: AnswerHead): AnswerReading => {
+    formatRetryAfter: delayMs => String(delayMs / 1000),
+    readResponseHead: ({ status, headers }: ResponseHead): ParsedResponse => {
         const shed = status === 503;
         return {
-            foreign: undefined,
+            mismatch: undefined,
             outcome: shed ? "not-run" : "ran",
             shed,
             misdirected: false,
             failed: false,
             retryable: shed,
-            mayPassOn: !shed,
+            forwardable: !shed,
             notice: {
-                leaving: headers[modelLeavingHeader] !== undefined,
+                draining: headers[modelLeavingHeader] !== undefined,
                 limit: readLimit(headers[modelLimitHeader]),
-                ...readRest(status, headers),
+                ...readBackoff(status, headers),
             },
             load: readLoad(headers[modelLoadHeader]),
             coldMs: undefined,
--- a/packages/daemon/test/model/model-fleet.ts
+++ b/packages/daemon/test/model/model-fleet.ts
@@ -6,7 +6,7 @@
 import { FakeClock, SeededRandom, sleep, type UpstreamId, upstreamId } from "@harrierhitch/core";
 import type { ServerResponse } from "node:http";
 import { Instance } from "../../src/instance.js";
-import { CallerAnswer } from "../../src/request/caller-answer.js";
+import { CallerResponse } from "../../src/request/caller-response.js";
 import { EventLog } from "../../src/telemetry/event-log.js";
 import { Metrics } from "../../src/telemetry/metrics.js";
 import { modelDialect } from "./model-dialect.js";
@@ -152,7 +152,7 @@
         const instance = running[Math.floor(this.random.next() ** (this.options.skew ?? 1) * running.length)];
         const request = modelRequest(patienceMs);
         const response = new ModelResponse();
-        await instance?.serve(request, new CallerAnswer(request, response as unknown as ServerResponse));
+        await instance?.serve(request, new CallerResponse(request, response as unknown as ServerResponse));
         return { status: response.status, retryAfterMs: Number(response.headers["retry-after"] ?? 0) * 1000 };
     }
 
@@ -167,14 +167,14 @@
             clock,
             random: new SeededRandom(index + 1),
             transport: new ModelTransport(clock, this.upstreams, nameOf(index), this.options.connectMs),
-            dialect: modelDialect,
-            syntax: {
-                configuration: checkConfiguration,
-                upstream: () => ({ value: undefined, findings: [] }),
+            headerProtocol: modelDialect,
+            parser: {
+                parseConfiguration: checkConfiguration,
+                parseUpstream: () => ({ value: undefined, findings: [] }),
             },
             log: new EventLog({ level: "silent", clock }),
             metrics: new Metrics(false),
-            doubtfulMs: () => 0,
+            removalGraceMs: () => 0,
         });
         if (this.options.startsUnconfigured !== true) {
             this.configure(instance);
@@ -182,7 +182,7 @@
         if (this.options.isJoined === true) {
             this.peers.join(index, instance);
         }
-        void instance.hearOthers();
+        void instance.contactPeers();
         return instance;
     }
 
@@ -194,17 +194,17 @@
             zones: [],
             revision: 1,
         };
-        this.instances.forEach(instance => instance.takePublication(told, true));
+        this.instances.forEach(instance => instance.applyPublication(told, true));
     }
 
     /** Lets all instances notice that the platform does not answer. */
     failPlatform(): void {
-        this.instances.forEach(instance => instance.platformFailed());
+        this.instances.forEach(instance => instance.recordPlatformFailure());
     }
 
     private configure(instance: Instance): void {
         if (
-            instance.offerConfiguration("model", modelConfiguration(this.options, [...this.upstreams.keys()])).type !== "accepted"
+            instance.applyConfiguration("model", modelConfiguration(this.options, [...this.upstreams.keys()])).type !== "accepted"
         ) {
             throw new RangeError("the configuration of the model is not valid");
         }
--- a/packages/daemon/test/model/model-peers.ts
+++ b/packages/daemon/test/model/model-peers.ts
@@ -56,7 +56,7 @@
         });
         this.network.open(
             index,
-            peerService({ fleetName: "model", fleet, explain: never, status: never, onRefused: () => undefined }),
+            peerService({ fleetName: "model", fleet, explain: never, status: never, onRejected: () => undefined }),
         );
         this.fleets.set(index, fleet);
         instance.fleet = fleet;
--- a/packages/daemon/test/model/model-transport.ts
+++ b/packages/daemon/test/model/model-transport.ts
@@ -5,7 +5,7 @@
 import type { Upstream } from "@harrierhitch/configuration";
 import { type Clock, sleep, type UpstreamId } from "@harrierhitch/core";
 import type { AttemptResult } from "@harrierhitch/decision";
-import type { AnswerSink, Attempt, UpstreamRequest, UpstreamTransport } from "../../src/upstream/upstream-transport.js";
+import type { Attempt, ResponseSink, UpstreamRequest, UpstreamTransport } from "../../src/upstream/upstream-transport.js";
 import type { ModelUpstream } from "./model-upstream.js";
 
 /** Path at which modelled upstreams are asked for their load. */
@@ -33,7 +33,7 @@
         private readonly connectMs = 0,
     ) {}
 
-    send(upstream: Upstream, request: UpstreamRequest, sink: AnswerSink): Attempt {
+    send(upstream: Upstream, request: UpstreamRequest, sink: ResponseSink): Attempt {
         const model = this.upstreams.get(upstream.id);
         if (model === undefined) {
             throw new RangeError(`there is no model of ${upstream.id}`);
@@ -98,7 +98,7 @@
 
     configure(): void {}
 
-    dropIdle(): void {}
+    closeIdle(): void {}
 
     close(): Promise<void> {
         return Promise.resolve();
--- a/packages/daemon/test/model/silent-directory.ts
+++ b/packages/daemon/test/model/silent-directory.ts
@@ -10,9 +10,9 @@
     new UpstreamDirectory({
         clock,
         read: () => ({ value: undefined, findings: [] }),
-        doubtfulMs: () => 0,
+        removalGraceMs: () => 0,
         onChange: () => undefined,
-        onZone: () => undefined,
-        onDoubtEnded: () => undefined,
+        onZoneChange: () => undefined,
+        onRemovalConfirmed: () => undefined,
         onInvalid: () => undefined,
     });
--- a/packages/daemon/test/model/store-fleet.ts
+++ b/packages/daemon/test/model/store-fleet.ts
@@ -4,9 +4,9 @@
  */
 
 import { FakeClock, instanceId, SeededRandom, upstreamId } from "@harrierhitch/core";
-import { CrashLedger, UpstreamLimits } from "@harrierhitch/decision";
+import { CrashHistory, UpstreamLimits } from "@harrierhitch/decision";
 import { Fleet, peerService } from "@harrierhitch/fleet";
-import { AcceptedConfiguration, fleetTimesFor, UpstreamDirectory } from "@harrierhitch/published";
+import { ActiveConfiguration, fleetTimesFor, UpstreamDirectory } from "@harrierhitch/published";
 import { PlatformLink } from "../../src/platform/platform-link.js";
 import { type Platform, PlatformError, type Publication } from "../../src/platform/platform.js";
 import { EventLog } from "../../src/telemetry/event-log.js";
@@ -83,12 +83,12 @@
         const instance = {
             fleet: undefined as Fleet | undefined,
             directory,
-            platformFailed: () => undefined,
-            takePublication: ({ revision, listings, zones }: Publication, isWhole: boolean) => {
+            recordPlatformFailure: () => undefined,
+            applyPublication: ({ revision, listings, zones }: Publication, isWhole: boolean) => {
                 const before = directory.revision;
-                directory.takeIn({ revision, whole: isWhole, listings, zones });
+                directory.merge({ revision, isSnapshot: isWhole, entries: listings, zones });
                 if (before !== directory.revision) {
-                    instance.fleet?.wakeLinks();
+                    instance.fleet?.gossipNow();
                 }
             },
         };
@@ -103,7 +103,7 @@
             times,
             willJoin: () => instance.fleet === undefined,
             hasCallers: () => running.hasCallers,
-            lookForSleep: () => undefined,
+            checkForStall: () => undefined,
         });
         this.breaks(link);
         const running: Running = {
@@ -198,23 +198,23 @@
             port: basePort + id,
             seeds: [0, 1, 2].map(seed => ({ address: "127.0.0.1", port: basePort + seed })),
             clients: { to: peer => this.network.client(id, peer), close: () => undefined },
-            accepted: new AcceptedConfiguration(),
+            activeConfiguration: new ActiveConfiguration(),
             directory,
-            crashes: new CrashLedger({ clock: this.clock }),
+            crashes: new CrashHistory({ clock: this.clock }),
             limits: new UpstreamLimits({ clock, instance: `n${id}` }),
             times: fleetTimesFor(this.boundMs),
             onConfiguration: () => undefined,
             onDirectory: () => undefined,
-            onRumor: () => undefined,
+            onDrainMessage: () => undefined,
             onSizeChange: () => undefined,
-            onSourceLost: () => undefined,
+            onDistributorLost: () => undefined,
             onExchange: () => undefined,
             onLimited: () => undefined,
             onUnreachable: () => undefined,
         });
         this.network.open(
             id,
-            peerService({ fleetName: "test", fleet, explain: never, status: never, onRefused: () => undefined }),
+            peerService({ fleetName: "test", fleet, explain: never, status: never, onRejected: () => undefined }),
         );
         fleet.start();
         return fleet;
--- a/packages/daemon/test/parts.test.ts
+++ b/packages/daemon/test/parts.test.ts
@@ -1,9 +1,9 @@
 import { FakeClock } from "@harrierhitch/core";
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
-import { answerHeaders, requestHeaders } from "../src/request/headers.js";
+import { requestHeaders, responseHeaders } from "../src/request/headers.js";
 import { HoldQueue, type HoldResult } from "../src/request/hold-queue.js";
-import { SleepDetector } from "../src/sleep-detector.js";
+import { StallDetector } from "../src/stall-detector.js";
 import { SpanQueue } from "../src/telemetry/span-queue.js";
 
 const stays = () => () => undefined;
@@ -15,7 +15,7 @@
         const results: string[] = [];
         let arrivals = 0;
         const add = (name: string, workspace: string, weight: number, untilMs = 1000, dueAtMs = 1000) =>
-            void queue.wait({ workspace, weight, dueAtMs, arrivedAtMs: arrivals++, untilMs, onGone: stays }).then((
+            void queue.wait({ workspace, weight, dueAtMs, arrivedAtMs: arrivals++, untilMs, onDisconnect: stays }).then((
                 result: HoldResult,
             ) => results.push(`${name} ${result}`));
         const wake = async (times: number): Promise<void> => {
@@ -58,13 +58,13 @@
         const { clock, queue, add } = start();
         const last = { workspace: "a", weight: 1, dueAtMs: 2000, arrivedAtMs: 9 };
         for (let turn = 0; turn < 8; turn += 1) {
-            queue.noteAdmitted();
+            queue.recordAdmitted();
             await clock.advance(10);
         }
         assert.equal(queue.expectedWaitMs(last), 0);
         ["a", "b", "c"].forEach(name => add(name, "a", 1));
         add("other", "b", 1);
-        assert.equal(queue.aheadOf(last), 3);
+        assert.equal(queue.countAhead(last), 3);
         assert.equal(queue.expectedWaitMs(last), 30);
     });
 
@@ -72,8 +72,8 @@
         const { clock, queue, results, add } = start();
         add("read1", "a", 1);
         add("read2", "a", 1);
-        assert.equal(queue.makeRoom(1, 2), false);
-        assert.equal(queue.makeRoom(10, 2), true);
+        assert.equal(queue.ensureCapacity(1, 2), false);
+        assert.equal(queue.ensureCapacity(10, 2), true);
         await clock.advance(0);
         assert.deepEqual(results, ["read2 displaced"]);
     });
@@ -106,7 +106,7 @@
     ];
     const sent = requestHeaders(raw, "close, X-Secret", { "x-depth": "4", "x-none": undefined });
     assert.deepEqual(sent, ["host", "x", "accept", "a", "accept", "b", "x-depth", "4"]);
-    const answered = answerHeaders({ "connection": "x-hop", "x-hop": "1", "set-cookie": ["a", "b"], "keep-alive": "5" }, {
+    const answered = responseHeaders({ "connection": "x-hop", "x-hop": "1", "set-cookie": ["a", "b"], "keep-alive": "5" }, {
         own: "1",
     });
     assert.deepEqual(answered, { "set-cookie": ["a", "b"], "own": "1" });
@@ -115,7 +115,7 @@
 test("a sleep is noticed once, by the next look or the next tick, and a short delay is none", async () => {
     const clock = new FakeClock();
     const sleeps: number[] = [];
-    const detector = new SleepDetector({ clock, onWake: sleptMs => sleeps.push(Math.round(sleptMs)) });
+    const detector = new StallDetector({ clock, onStall: sleptMs => sleeps.push(Math.round(sleptMs)) });
     detector.start();
     await clock.advance(500);
     clock.pause(100);
@@ -123,7 +123,7 @@
     assert.deepEqual(sleeps, []);
     for (const pauseMs of [200, 2000, 20_000]) {
         clock.pause(pauseMs);
-        detector.look();
+        detector.check();
         await clock.advance(100);
     }
     assert.equal(sleeps.length, 3);
--- a/packages/daemon/test/platform-link.test.ts
+++ b/packages/daemon/test/platform-link.test.ts
@@ -1,9 +1,9 @@
 import { create } from "@bufbuild/protobuf";
 import { FakeClock, instanceId, SeededRandom, upstreamId } from "@harrierhitch/core";
-import { CrashLedger, UpstreamLimits } from "@harrierhitch/decision";
-import { Fleet, readersOf } from "@harrierhitch/fleet";
+import { CrashHistory, UpstreamLimits } from "@harrierhitch/decision";
+import { Fleet, selectReaders } from "@harrierhitch/fleet";
 import { MemberSchema } from "@harrierhitch/protocol";
-import { AcceptedConfiguration, defaultFleetTimes } from "@harrierhitch/published";
+import { ActiveConfiguration, defaultFleetTimes } from "@harrierhitch/published";
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import { PlatformLink } from "../src/platform/platform-link.js";
@@ -78,15 +78,15 @@
         port: 2,
         seeds: [],
         clients: { to: never, close: () => undefined },
-        accepted: new AcceptedConfiguration(),
+        activeConfiguration: new ActiveConfiguration(),
         directory,
-        crashes: new CrashLedger({ clock }),
+        crashes: new CrashHistory({ clock }),
         limits: new UpstreamLimits({ clock, instance: "self" }),
         onConfiguration: () => undefined,
         onDirectory: () => undefined,
         onSizeChange: () => undefined,
-        onRumor: () => undefined,
-        onSourceLost: () => undefined,
+        onDrainMessage: () => undefined,
+        onDistributorLost: () => undefined,
         onExchange: () => undefined,
         onLimited: () => undefined,
         onUnreachable: () => undefined,
@@ -104,9 +104,9 @@
         instance: {
             fleet: hasJoined ? fleet : undefined,
             directory,
-            platformFailed: () => undefined,
-            takePublication: ({ revision, listings, zones }, isWhole) =>
-                directory.takeIn({ revision, whole: isWhole, listings, zones }),
+            recordPlatformFailure: () => undefined,
+            applyPublication: ({ revision, listings, zones }, isWhole) =>
+                directory.merge({ revision, isSnapshot: isWhole, entries: listings, zones }),
         },
         log: new EventLog({ level: "silent" }),
         retryMs: 250,
@@ -114,7 +114,7 @@
         times: defaultFleetTimes,
         willJoin: () => !hasJoined,
         hasCallers: () => true,
-        lookForSleep: () => sleep.isOver ? link.noteSlept() : undefined,
+        checkForStall: () => sleep.isOver ? link.recordStall() : undefined,
     });
     link.start();
     await clock.advance(0);
@@ -126,7 +126,7 @@
     const names = Array.from({ length: 50 }, (_, index) => `other-${index}`);
     return names.find(name => {
         const members = [member("self", 1), member(name, 1)];
-        return (readersOf(members)[0]?.instance === name) === isReader;
+        return (selectReaders(members)[0]?.instance === name) === isReader;
     }) ?? "";
 };
 
@@ -134,12 +134,12 @@
     test("that slept takes what came meanwhile for as old as its question", async () => {
         const { clock, fleet, link, sleep } = await open([]);
         await clock.advance(1000);
-        assert.ok(fleet.freshness.ageMs >= 900);
+        assert.ok(fleet.stalenessTracker.stalenessMs >= 900);
         clock.pause(6000);
         sleep.isOver = true;
         await clock.advance(0);
         link.stop();
-        assert.ok(fleet.freshness.ageMs >= 6000, `${fleet.freshness.ageMs} ms`);
+        assert.ok(fleet.stalenessTracker.stalenessMs >= 6000, `${fleet.stalenessTracker.stalenessMs} ms`);
     });
 
     test("that is alone watches for as long as its settings say", async () => {
@@ -154,14 +154,14 @@
         await clock.advance(3100);
         link.stop();
         assert.deepEqual(platform.calls.slice(1), ["watch 1000", "watch 1000", "watch 1000"]);
-        assert.ok(fleet.freshness.ageMs < 1100);
+        assert.ok(fleet.stalenessTracker.stalenessMs < 1100);
     });
 
     test("that hears from a reader does not ask the platform, and does so at once when that has told nothing for 1.5 s", async () => {
         const { clock, platform, link, fleet } = await open([nameThat(true)]);
         for (let told = 0; told < 3; told += 1) {
             await clock.advance(1000);
-            fleet.freshness.confirm(0);
+            fleet.stalenessTracker.confirm(0);
         }
         assert.deepEqual(platform.calls, ["read"]);
         platform.revision = 2;
--- a/packages/daemon/test/crash-trials.test.ts
+++ b/packages/daemon/test/quarantine-trials.test.ts
@@ -4,10 +4,10 @@
  */
 
 import { FakeClock, type RequestId, requestId, requestKey, SeededRandom } from "@harrierhitch/core";
-import type { RequestPattern } from "@harrierhitch/decision";
+import type { RequestSignature } from "@harrierhitch/decision";
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
-import { CrashWatch } from "../src/request/crash-watch.js";
+import { CrashDetector } from "../src/request/crash-detector.js";
 import { EventLog } from "../src/telemetry/event-log.js";
 import { Metrics } from "../src/telemetry/metrics.js";
 
@@ -20,18 +20,18 @@
 /** Some instances that tell each other of every run a while later. */
 class Instances {
     readonly clock = new FakeClock();
-    readonly watches: readonly CrashWatch[];
+    readonly watches: readonly CrashDetector[];
     private requests = 0;
 
-    constructor(count: number, private readonly wayMs = 500, chosen: (pattern: RequestPattern) => number = () => 0) {
+    constructor(count: number, private readonly wayMs = 500, chosen: (pattern: RequestSignature) => number = () => 0) {
         const { clock } = this;
         this.watches = Array.from({ length: count }, (_, index) =>
-            new CrashWatch({
+            new CrashDetector({
                 clock,
                 log: new EventLog({ level: "silent", clock }),
                 metrics: new Metrics(false),
-                onNews: () => this.tell(index),
-                isChosenToTry: pattern => chosen(pattern) === index,
+                onChange: () => this.tell(index),
+                isTrialOwner: pattern => chosen(pattern) === index,
             }));
     }
 
@@ -41,13 +41,13 @@
     }
 
     isSent(index: number, request = this.newRequest()): boolean {
-        return !this.watches[index]!.mustWithhold(request, asked);
+        return !this.watches[index]!.shouldQuarantine(request, asked);
     }
 
     /** An upstream ends under the request at an instance. */
     end(index: number, request = this.newRequest()): void {
-        this.watches[index]!.noteEnd({ request, attempt: 1, key, upstream: `u${this.requests}` as never, ranMs: 50 });
-        this.watches[index]!.noteSettled(request, true);
+        this.watches[index]!.recordCrash({ request, attempt: 1, key, upstream: `u${this.requests}` as never, ranMs: 50 });
+        this.watches[index]!.recordCompleted(request, true);
     }
 
     async endThree(): Promise<void> {
@@ -59,9 +59,9 @@
 
     private tell(from: number): void {
         this.clock.after(this.wayMs, () => {
-            const { ledger } = this.watches[from]!;
-            this.watches.forEach(({ ledger: other }) =>
-                other === ledger || other.merge(ledger.toTell(other.withheld, false), ledger.withheld)
+            const { history: ledger } = this.watches[from]!;
+            this.watches.forEach(({ history: other }) =>
+                other === ledger || other.merge(ledger.recentEntries(other.quarantined, false), ledger.quarantined)
             );
         });
     }
@@ -79,7 +79,7 @@
         assert.equal(instances.isSent(1, trial), true);
         assert.equal(instances.isSent(1, trial), true, "the one that tries goes on");
         assert.equal(instances.isSent(1), false, "a second one waits for its answer");
-        assert.equal(instances.watches[1]!.allowsSecond(trial, asked), false);
+        assert.equal(instances.watches[1]!.allowsHedge(trial, asked), false);
     });
 
     test("is sent by all again once the trial is answered", async () => {
@@ -88,8 +88,8 @@
         await instances.clock.advance(trialAfterMs);
         const trial = instances.newRequest();
         assert.equal(instances.isSent(0, trial), true);
-        instances.watches[0]!.noteAnswered(key);
-        instances.watches[0]!.noteSettled(trial, true);
+        instances.watches[0]!.recordSuccess(key);
+        instances.watches[0]!.recordCompleted(trial, true);
         await instances.clock.advance(1000);
         assert.deepEqual([0, 1, 2].map(index => instances.isSent(index)), [true, true, true]);
     });
@@ -104,7 +104,7 @@
             if (ends) {
                 instances.end(0, trial);
             }
-            instances.watches[0]!.noteSettled(trial, true);
+            instances.watches[0]!.recordCompleted(trial, true);
             for (let minute = 0; minute < 55; minute += 1) {
                 assert.equal(instances.isSent(0), false, `after ${minute} minutes`);
                 await instances.clock.advance(60_000);
@@ -118,7 +118,7 @@
         await instances.clock.advance(trialAfterMs);
         const trial = instances.newRequest();
         assert.equal(instances.isSent(0, trial), true);
-        instances.watches[0]!.noteSettled(trial, false);
+        instances.watches[0]!.recordCompleted(trial, false);
         assert.equal(instances.isSent(0), true);
     });
 
--- a/packages/daemon/test/request-hold.test.ts
+++ b/packages/daemon/test/request-hold.test.ts
@@ -1,7 +1,7 @@
 import { FakeClock } from "@harrierhitch/core";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { holdBack } from "../src/request/request-hold.js";
+import { holdRequest } from "../src/request/request-hold.js";
 import type { RequestProgress } from "../src/request/request-progress.js";
 import type { ServiceRuntime } from "../src/upstream/service-runtime.js";
 
@@ -22,12 +22,12 @@
 
 test("a request whose time for being held ran out after the decision is decided again, by a policy that is told so", async () => {
     const { givenUp, progress } = requestWith(1.2, 0);
-    assert.equal(await holdBack(progress, runtime, new FakeClock()), false);
+    assert.equal(await holdRequest(progress, runtime, new FakeClock()), false);
     assert.deepEqual(givenUp, []);
 });
 
 test("a request that a policy holds although no time is left for it is given up at once", async () => {
     const { givenUp, progress } = requestWith(0, 0);
-    assert.equal(await holdBack(progress, runtime, new FakeClock()), true);
+    assert.equal(await holdRequest(progress, runtime, new FakeClock()), true);
     assert.deepEqual(givenUp, ["held back for too long"]);
 });
--- a/packages/daemon/test/retry-after.test.ts
+++ b/packages/daemon/test/retry-after.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
-import { readRest } from "../src/request/answer-notice.js";
+import { readBackoff } from "../src/request/response-notice.js";
 import { readRetryAfter } from "../src/request/retry-after.js";
 
 const now = "Thu, 03 Dec 2026 05:00:00 GMT";
@@ -49,7 +49,7 @@
 });
 
 describe("a rest is asked for by", () => {
-    const restOf = (status: number): number | undefined => readRest(status, { "retry-after": "3" }).restMs;
+    const restOf = (status: number): number | undefined => readBackoff(status, { "retry-after": "3" }).backoffMs;
 
     test("a status that turns the request away", () => {
         assert.deepEqual([restOf(503), restOf(429)], [3000, 3000]);
--- a/packages/daemon/test/burst-line.test.ts
+++ b/packages/daemon/test/threshold-log.test.ts
@@ -1,22 +1,22 @@
 import { FakeClock } from "@harrierhitch/core";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { BurstLine } from "../src/telemetry/burst-line.js";
 import { EventLog } from "../src/telemetry/event-log.js";
 import { events } from "../src/telemetry/event.js";
+import { ThresholdLog } from "../src/telemetry/threshold-log.js";
 
 test("what happens now and then is not told, and what keeps on is told once in each interval", async () => {
     const clock = new FakeClock();
     const lines: string[] = [];
     const log = new EventLog({ level: "info", clock, destination: { write: line => lines.push(line) } });
-    const line = new BurstLine({ clock, log, event: events.exchangesLimited, threshold: 10, intervalMs: 10_000 });
+    const line = new ThresholdLog({ clock, log, event: events.exchangesLimited, threshold: 10, intervalMs: 10_000 });
     for (let second = 0; second < 60; second += 2) {
-        line.note();
+        line.record();
         await clock.advance(2000);
     }
     assert.deepEqual(lines, []);
     for (let step = 0; step < 300; step += 1) {
-        line.note();
+        line.record();
         await clock.advance(100);
     }
     assert.equal(lines.length, 3);
--- a/packages/daemon/test/withdrawn.test.ts
+++ b/packages/daemon/test/withdrawn.test.ts
@@ -9,7 +9,7 @@
 import type { AddressInfo } from "node:net";
 import { after, before, beforeEach, describe, test } from "node:test";
 import { HttpTransport } from "../src/upstream/http-transport.js";
-import type { AnswerSink, UpstreamRequest } from "../src/upstream/upstream-transport.js";
+import type { ResponseSink, UpstreamRequest } from "../src/upstream/upstream-transport.js";
 
 const seen: string[] = [];
 const held: ServerResponse[] = [];
@@ -22,7 +22,7 @@
         response.end();
     }
 });
-const sink: AnswerSink = { onHead: () => true, onData: () => true };
+const sink: ResponseSink = { onHead: () => true, onData: () => true };
 const request = (path: string, mayBegin?: () => boolean): UpstreamRequest => ({
     method: "GET",
     path,
--- a/packages/decision/src/adaptive-chooser.ts
+++ b/packages/decision/src/adaptive-chooser.ts
@@ -6,7 +6,7 @@
 
 import type { ChooserName } from "@harrierhitch/configuration";
 import type { UpstreamFacts } from "@harrierhitch/policy";
-import type { Choice, Chooser, ChooserInput } from "./chooser.js";
+import type { Chooser, ChooserInput, Selection } from "./chooser.js";
 import { all, lowest } from "./compare.js";
 
 /** Time after which a report of load has lost two thirds of its worth. */
@@ -40,7 +40,7 @@
 export class AdaptiveChooser implements Chooser {
     readonly name: ChooserName = "adaptive";
 
-    choose(input: ChooserInput): Choice {
+    select(input: ChooserInput): Selection {
         const usualMs = medianLatencyMs(input.candidates);
         return lowest(input, all(input), input.rank ?? (candidate => believedLoad(candidate, usualMs)));
     }
--- a/packages/decision/src/usual-patience.ts
+++ b/packages/decision/src/caller-timeout-estimator.ts
@@ -21,7 +21,7 @@
  *
  * Without it, callers who come back late pass for new and take the place of those who can still be in time.
  */
-export class UsualPatience {
+export class CallerTimeoutEstimator {
     private readonly recent = new Map<string, number[]>();
 
     /**
@@ -31,7 +31,7 @@
      * @param patienceMs - For how long its caller is still willing to wait.
      * @returns Time since the caller's first try, as far as its patience shows it, in milliseconds; 0 while too little is known.
      */
-    note(kind: string, patienceMs: number): number {
+    record(kind: string, patienceMs: number): number {
         const arrivals = this.recent.get(kind) ?? [];
         arrivals.push(patienceMs);
         if (arrivals.length > remembered) {
--- a/packages/decision/src/chooser.ts
+++ b/packages/decision/src/chooser.ts
@@ -16,11 +16,11 @@
     /** Random numbers, each at least 0 and below 1. */
     readonly draws: readonly number[];
     /** Running number of the service's decisions. */
-    readonly turn: number;
+    readonly sequence: number;
 }
 
 /** What a chooser picked. */
-export interface Choice {
+export interface Selection {
     /** Index of the chosen candidate. */
     readonly index: number;
     /** Scores of the candidates that were compared, by index; holes for the others. */
@@ -31,5 +31,5 @@
 export interface Chooser {
     readonly name: ChooserName;
     /** Picks one of the candidates. */
-    choose(input: ChooserInput): Choice;
+    select(input: ChooserInput): Selection;
 }
--- a/packages/decision/src/choosers.ts
+++ b/packages/decision/src/choosers.ts
@@ -7,6 +7,8 @@
 import type { ChooserName } from "@harrierhitch/configuration";
 import type { RandomSource } from "@harrierhitch/core";
 import { AdaptiveChooser } from "./adaptive-chooser.js";
+import type { Chooser } from "./chooser.js";
+import { ExpectedTimeChooser } from "./expected-time-chooser.js";
 import {
     LatencyAverageChooser,
     LeastOutstandingChooser,
@@ -14,9 +16,7 @@
     RandomChooser,
     RoundRobinChooser,
     TwoChoicesChooser,
-} from "./baseline-choosers.js";
-import type { Chooser } from "./chooser.js";
-import { ExpectedTimeChooser } from "./expected-time-chooser.js";
+} from "./standard-choosers.js";
 
 /** Every chooser that a policy can pick. */
 export const choosers: Readonly<Record<ChooserName, Chooser>> = {
--- a/packages/decision/src/cold-admission.ts
+++ b/packages/decision/src/cold-admission.ts
@@ -17,15 +17,15 @@
 /** Admits requests to cold upstreams. */
 export interface ColdAdmission {
     /** Whether a request of this instance may go to a cold upstream now. */
-    mayTake(upstream: ColdUpstream): boolean;
+    mayAdmit(upstream: ColdUpstream): boolean;
     /** Notes that one goes there. */
-    noteSent(upstream: ColdUpstream): void;
+    recordSent(upstream: ColdUpstream): void;
 }
 
 /** Admits everything: for an instance that knows of no bound. */
 export const unboundedColdAdmission: ColdAdmission = {
-    mayTake: () => true,
-    noteSent: () => undefined,
+    mayAdmit: () => true,
+    recordSent: () => undefined,
 };
 
 /** Options of {@link SharedColdAdmission}. */
@@ -35,7 +35,7 @@
      * How many instances share an upstream, this one among them; 0 where this one is none of them, or does not know the
      * others yet.
      */
-    readonly sharersOf: (upstream: UpstreamId) => number;
+    readonly participantsOf: (upstream: UpstreamId) => number;
 }
 
 const secondMs = 1000;
@@ -52,16 +52,16 @@
     /** @param options - Clock and who shares. */
     constructor(private readonly options: SharedColdAdmissionOptions) {}
 
-    mayTake({ id, requestsPerSecond }: ColdUpstream): boolean {
+    mayAdmit({ id, requestsPerSecond }: ColdUpstream): boolean {
         if (requestsPerSecond <= 0) {
             return true;
         }
-        const sharers = this.options.sharersOf(id);
+        const sharers = this.options.participantsOf(id);
         const gapMs = sharers / requestsPerSecond * secondMs;
         return sharers > 0 && this.options.clock.nowMs() - (this.sentAtMs.get(id) ?? -Infinity) >= gapMs;
     }
 
-    noteSent({ id }: ColdUpstream): void {
+    recordSent({ id }: ColdUpstream): void {
         const nowMs = this.options.clock.nowMs();
         // What was sent long ago binds nothing any more; upstreams come and go.
         this.sentAtMs.forEach((atMs, known) => nowMs - atMs > forgetMs ? this.sentAtMs.delete(known) : undefined);
--- a/packages/decision/src/compare.ts
+++ b/packages/decision/src/compare.ts
@@ -5,7 +5,7 @@
  */
 
 import type { UpstreamFacts } from "@harrierhitch/policy";
-import type { Choice, ChooserInput } from "./chooser.js";
+import type { ChooserInput, Selection } from "./chooser.js";
 
 /** Gives one candidate a score; lower is better. */
 export type Score = (candidate: UpstreamFacts) => number;
@@ -17,7 +17,7 @@
  * @param indexes - The candidates to compare.
  * @param score - Their score.
  */
-export const lowest = (input: ChooserInput, indexes: readonly number[], score: Score): Choice => {
+export const lowest = (input: ChooserInput, indexes: readonly number[], score: Score): Selection => {
     const scores: (number | undefined)[] = [];
     let ties: number[] = [];
     let best = Infinity;
--- a/packages/decision/src/crash-ledger.ts
+++ b/packages/decision/src/crash-history.ts
@@ -8,23 +8,23 @@
  */
 
 import type { Clock, RequestKey } from "@harrierhitch/core";
-import { AnsweredKeys } from "./answered-keys.js";
-import { isDueForTrial } from "./crash-trial.js";
-import { withheldRequests } from "./crash-verdict.js";
-import type { EndedRun } from "./ended-run.js";
-import { agreeingSets, matches, pathPartOf, patternOf, type RequestPattern, traitSets } from "./request-traits.js";
-
-/** Options of {@link CrashLedger}. */
-export interface CrashLedgerOptions {
+import type { CrashRecord } from "./crash-record.js";
+import { detectPoisonRequests } from "./poison-detection.js";
+import { isTrialDue } from "./quarantine-trial.js";
+import { agreeingSets, matches, pathPartOf, type RequestSignature, signatureOf, traitSets } from "./request-attributes.js";
+import { AnsweredKeys } from "./succeeded-keys.js";
+
+/** Options of {@link CrashHistory}. */
+export interface CrashHistoryOptions {
     readonly clock: Clock;
     /** Told of requests that are withheld from now on, with the runs that settled it. */
-    readonly onWithheld?: (pattern: RequestPattern, runs: readonly EndedRun[]) => void;
+    readonly onQuarantined?: (pattern: RequestSignature, runs: readonly CrashRecord[]) => void;
     /** Told of requests that are no longer withheld. */
-    readonly onReleased?: (pattern: RequestPattern) => void;
+    readonly onReleased?: (pattern: RequestSignature) => void;
 }
 
 interface Entry {
-    readonly run: EndedRun;
+    readonly run: CrashRecord;
     /** When this instance learned what it says now. */
     readonly learnedAtMs: number;
 }
@@ -48,12 +48,12 @@
 const maximumTold = 64;
 
 /** Remembers runs that ended with their upstreams, and tells which requests are withheld for them. */
-export class CrashLedger {
+export class CrashHistory {
     private readonly entries = new Map<string, Entry>();
     private readonly answered = new AnsweredKeys();
-    private verdicts: ReadonlyMap<RequestPattern, readonly EndedRun[]> = new Map();
+    private verdicts: ReadonlyMap<RequestSignature, readonly CrashRecord[]> = new Map();
     /** What was ever withheld, here or by another instance, as long as runs of it are remembered. */
-    private agreed: ReadonlySet<RequestPattern> = new Set();
+    private agreed: ReadonlySet<RequestSignature> = new Set();
     /** Requests that lost an upstream and were not answered since. */
     private suspects: ReadonlySet<RequestKey> = new Set();
     /** Method, host and path of the runs that are remembered. */
@@ -62,7 +62,7 @@
     private staleAtMs = Infinity;
 
     /** @param options - The clock, and who is told of verdicts. */
-    constructor(private readonly options: CrashLedgerOptions) {}
+    constructor(private readonly options: CrashHistoryOptions) {}
 
     /** Runs that are remembered. */
     get size(): number {
@@ -70,22 +70,22 @@
     }
 
     /** What is withheld: what the requests have in common. */
-    get withheld(): readonly RequestPattern[] {
+    get quarantined(): readonly RequestSignature[] {
         this.forgetOld();
         return [...this.verdicts.keys()];
     }
 
     /** Whether a request is not to be sent, because upstreams end under it. */
-    isWithheld(key: RequestKey): boolean {
-        return this.withholding(key).length > 0;
+    isQuarantined(key: RequestKey): boolean {
+        return this.matchingQuarantines(key).length > 0;
     }
 
     /** What a request is withheld for. */
-    withholding(key: RequestKey): readonly RequestPattern[] {
+    matchingQuarantines(key: RequestKey): readonly RequestSignature[] {
         this.forgetOld();
         return this.verdicts.size === 0
             ? []
-            : [...new Set(traitSets.map(set => patternOf(key, set)))].filter(pattern => this.verdicts.has(pattern));
+            : [...new Set(traitSets.map(set => signatureOf(key, set)))].filter(pattern => this.verdicts.has(pattern));
     }
 
     /**
@@ -93,9 +93,9 @@
      *
      * @param pattern - What is withheld.
      */
-    isDueForTrial(pattern: RequestPattern): boolean {
+    isTrialDue(pattern: RequestSignature): boolean {
         const own = this.runs.filter(({ key }) => matches(key, pattern));
-        return isDueForTrial(this.verdicts.get(pattern) ?? [], own, this.options.clock.nowMs());
+        return isTrialDue(this.verdicts.get(pattern) ?? [], own, this.options.clock.nowMs());
     }
 
     /** Whether an upstream has ended under a request that was not answered since. */
@@ -111,7 +111,7 @@
      * @param withheld - What whoever told of the runs withholds.
      * @returns Whether anything was new.
      */
-    merge(runs: readonly EndedRun[], withheld: readonly RequestPattern[] = []): boolean {
+    merge(runs: readonly CrashRecord[], withheld: readonly RequestSignature[] = []): boolean {
         this.forgetOld();
         const news = runs.filter(run => this.put(run));
         const agreed = withheld.filter(pattern =>
@@ -130,7 +130,7 @@
      *
      * @returns Whether that was new of any run.
      */
-    noteAnswered(key: RequestKey): boolean {
+    recordSuccess(key: RequestKey): boolean {
         this.answered.note(key);
         const path = pathPartOf(key);
         if (!this.suspectPaths.has(path)) {
@@ -139,8 +139,8 @@
         const alike = this.runs.filter(run => pathPartOf(run.key) === path);
         return this.merge(alike.map(run => ({
             ...run,
-            isAnswered: run.isAnswered || run.key === key,
-            answeredAlike: run.answeredAlike | agreeingSets(run.key, key),
+            isAnswered: run.hasSucceeded || run.key === key,
+            answeredAlike: run.succeededMasks | agreeingSets(run.key, key),
         })));
     }
 
@@ -150,37 +150,37 @@
      * @param withheld - What it withholds.
      * @param isBrief - Whether to leave out what is only new.
      */
-    toTell(withheld: readonly RequestPattern[], isBrief: boolean): readonly EndedRun[] {
+    recentEntries(withheld: readonly RequestSignature[], isBrief: boolean): readonly CrashRecord[] {
         const nowMs = this.options.clock.nowMs();
-        const settling = this.lacking(withheld).flatMap(pattern => this.verdicts.get(pattern) ?? []);
+        const settling = this.missingQuarantines(withheld).flatMap(pattern => this.verdicts.get(pattern) ?? []);
         const isNew = ({ learnedAtMs }: Entry): boolean => nowMs - learnedAtMs < passOnMs;
         const news = isBrief ? [] : [...this.entries.values()].filter(isNew).map(({ run }) => run).reverse();
         return [...new Set([...settling, ...news])].slice(0, maximumTold);
     }
 
     /** What is withheld here, and not by another instance that withholds what is given. */
-    lacking(withheld: readonly RequestPattern[]): readonly RequestPattern[] {
-        return this.withheld.filter(pattern => !withheld.includes(pattern));
+    missingQuarantines(withheld: readonly RequestSignature[]): readonly RequestSignature[] {
+        return this.quarantined.filter(pattern => !withheld.includes(pattern));
     }
 
-    private get runs(): readonly EndedRun[] {
+    private get runs(): readonly CrashRecord[] {
         return [...this.entries.values()].map(({ run }) => run);
     }
 
-    private put(run: EndedRun): boolean {
+    private put(run: CrashRecord): boolean {
         const known = this.entries.get(run.id);
         const ageMs = this.options.clock.nowMs() - run.endedAtMs;
         if (known === undefined && ageMs > withholdMs - forgottenMarginMs) {
             return false;
         }
         // What is answered later is noted in the runs that are known: only a new one is compared with all that was answered.
-        const before = known?.run ?? { ...run, answeredAlike: run.answeredAlike | this.answered.agreeingWith(run.key) };
+        const before = known?.run ?? { ...run, succeededMasks: run.succeededMasks | this.answered.agreeingWith(run.key) };
         const kept = {
             ...before,
-            isAnswered: before.isAnswered || run.isAnswered,
-            answeredAlike: before.answeredAlike | run.answeredAlike,
+            isAnswered: before.hasSucceeded || run.hasSucceeded,
+            answeredAlike: before.succeededMasks | run.succeededMasks,
         };
-        if (known !== undefined && kept.isAnswered === before.isAnswered && kept.answeredAlike === before.answeredAlike) {
+        if (known !== undefined && kept.isAnswered === before.hasSucceeded && kept.answeredAlike === before.succeededMasks) {
             return false;
         }
         this.entries.delete(run.id);
@@ -203,20 +203,20 @@
     private judge(): void {
         const before = this.verdicts;
         const { runs } = this;
-        this.verdicts = withheldRequests(runs, this.agreed);
+        this.verdicts = detectPoisonRequests(runs, this.agreed);
         this.agreed = new Set(
             [...this.agreed, ...this.verdicts.keys()].filter(pattern => runs.some(({ key }) => matches(key, pattern))),
         );
-        this.suspects = new Set(runs.filter(run => !run.isAnswered).map(run => run.key));
+        this.suspects = new Set(runs.filter(run => !run.hasSucceeded).map(run => run.key));
         this.suspectPaths = new Set(runs.map(run => pathPartOf(run.key)));
         this.staleAtMs = Math.min(...runs.map(run => this.forgetAtMs(run)));
         this.verdicts.forEach((settling, pattern) =>
-            before.has(pattern) ? undefined : this.options.onWithheld?.(pattern, settling)
+            before.has(pattern) ? undefined : this.options.onQuarantined?.(pattern, settling)
         );
         before.forEach((_, pattern) => this.verdicts.has(pattern) ? undefined : this.options.onReleased?.(pattern));
     }
 
-    private forgetAtMs({ key, endedAtMs }: EndedRun): number {
+    private forgetAtMs({ key, endedAtMs }: CrashRecord): number {
         return endedAtMs + (this.isSettling(key) ? withholdMs : suspectMs);
     }
 
--- a/packages/decision/src/ended-run.ts
+++ b/packages/decision/src/crash-record.ts
@@ -7,7 +7,7 @@
 import type { RequestKey } from "@harrierhitch/core";
 
 /** A run during which its upstream ended, as any instance saw it. */
-export interface EndedRun {
+export interface CrashRecord {
     /** Names the run in the whole fleet: the request's id and the number of its attempt. */
     readonly id: string;
     /** What was asked. */
@@ -27,7 +27,7 @@
      * In what an answered request agrees with this one, as far as any instance remembers: bit `n` stands for the set of
      * traits `n` of `request-traits.ts`.
      */
-    readonly answeredAlike: number;
+    readonly succeededMasks: number;
     /** Whether an upstream has answered the same request since, which proves that it does not end whoever runs it. */
-    readonly isAnswered: boolean;
+    readonly hasSucceeded: boolean;
 }
--- a/packages/decision/src/decide.ts
+++ b/packages/decision/src/decide.ts
@@ -11,7 +11,7 @@
 import { choosers } from "./choosers.js";
 import type { DecisionInput } from "./decision-input.js";
 import type { Decision, Exclusion, PolicyFailure } from "./decision.js";
-import { comeBackMs, isLimited, turnInMs, waitForAllMs } from "./resting.js";
+import { earliestAvailableMs, isLimited, jitteredRetryAfterMs, queueWaitMs } from "./upstream-backoff.js";
 
 /** What a decision needs of a policy. */
 export type DecisionPolicy =
@@ -57,7 +57,7 @@
         // Waiting brings nothing: all are leaving, or their availability zones are out of service.
         return withoutCandidates(input.upstreams.map(exclusionOf), undefined);
     }
-    const waitMs = waitForAllMs(input.upstreams);
+    const waitMs = earliestAvailableMs(input.upstreams);
     if (waitMs === undefined && isLeftToOthers(input)) {
         return turnedAway(input);
     }
@@ -148,7 +148,7 @@
     }
     const reason = "all upstreams of the service have asked for a rest";
     const [draw = 0] = draws;
-    return { ...decision, action: "refuse", cause: "no-upstream", reason, retryAfterMs: comeBackMs(restMs, draw) };
+    return { ...decision, action: "refuse", cause: "no-upstream", reason, retryAfterMs: jitteredRetryAfterMs(restMs, draw) };
 };
 
 /**
@@ -169,7 +169,7 @@
 const underLimits = (input: DecisionInput, waitMs: number): Decision => {
     const { request, upstreams } = input;
     const exclusions = upstreams.map(exclusionOf);
-    return request.holdLeftMs >= turnInMs(waitMs, request.ahead, upstreams)
+    return request.holdLeftMs >= queueWaitMs(waitMs, request.ahead, upstreams)
         ? { action: "hold", cause: "limited", exclusions, scores: [], policyFailure: undefined }
         : turnedAway(input);
 };
@@ -191,8 +191,8 @@
     rank: ChooserInput["rank"],
     policyFailure: PolicyFailure | undefined,
 ): Decision => {
-    const { draws, turn } = input;
-    const choice = choosers[chooserName].choose({ candidates, rank, draws, turn });
+    const { draws, sequence: turn } = input;
+    const choice = choosers[chooserName].select({ candidates, rank, draws, sequence: turn });
     let candidate = 0;
     const scores = exclusions.map(exclusion => exclusion === undefined ? choice.scores[candidate++] : undefined);
     return {
--- a/packages/decision/src/decision-input.ts
+++ b/packages/decision/src/decision-input.ts
@@ -17,5 +17,5 @@
     /** Random numbers for the chooser, each at least 0 and below 1. */
     readonly draws: readonly number[];
     /** Running number of the service's decisions, for taking turns. */
-    readonly turn: number;
+    readonly sequence: number;
 }
--- a/packages/decision/src/expected-time-chooser.ts
+++ b/packages/decision/src/expected-time-chooser.ts
@@ -6,7 +6,7 @@
 
 import type { ChooserName } from "@harrierhitch/configuration";
 import type { UpstreamFacts } from "@harrierhitch/policy";
-import type { Choice, Chooser, ChooserInput } from "./chooser.js";
+import type { Chooser, ChooserInput, Selection } from "./chooser.js";
 import { all, lowest } from "./compare.js";
 
 /** Slowness of an upstream that has just started. */
@@ -32,8 +32,8 @@
 export class ExpectedTimeChooser implements Chooser {
     readonly name: ChooserName = "expected-time";
 
-    choose(input: ChooserInput): Choice {
-        return lowest(input, all(input), input.rank ?? expectedTime);
+    select(input: ChooserInput): Selection {
+        return lowest(input, all(input), input.rank ?? selectionCost);
     }
 }
 
@@ -44,8 +44,8 @@
 const turnWeight = 0.3;
 
 /** What a candidate is compared by: the time until its answer, and what speaks against it besides. */
-export const expectedTime = (candidate: UpstreamFacts): number =>
-    workTime(candidate)
+export const selectionCost = (candidate: UpstreamFacts): number =>
+    expectedResponseTime(candidate)
     + candidate.expectedInFlight / Math.max(1, candidate.slots) * busyWeight
     + (candidate.sameZone ? 0 : zoneWeight)
     + failureWeight * candidate.failureRate
@@ -53,7 +53,7 @@
     - (candidate.shareGapMs > 0 ? turnWeight : 0);
 
 /** Time until an answer is expected, in times of usual work, whatever else speaks against the candidate. */
-export const workTime = (candidate: UpstreamFacts): number => {
+export const expectedResponseTime = (candidate: UpstreamFacts): number => {
     // What is in flight beyond the best number costs the requests of others too: they start slower, or wait.
     const over = Math.max(0, candidate.expectedInFlight + 1 - candidate.bestInFlight);
     const cold = candidate.state === "cold" ? coldSlowness : 1;
--- a/packages/decision/src/by-start.ts
+++ b/packages/decision/src/incarnation-map.ts
@@ -10,7 +10,7 @@
 import type { Clock, UpstreamId } from "@harrierhitch/core";
 
 /** A start of an upstream, as far as whoever tells of it names it. */
-export interface NamedStart {
+export interface UpstreamIncarnation {
     readonly id: UpstreamId;
     readonly address?: string;
     readonly port?: number;
@@ -62,7 +62,7 @@
      * @param saidAtUnixMs - When the upstream said so itself, in milliseconds since the Unix epoch; 0 where others told.
      * @param next - Makes the value of what was kept of this start before.
      */
-    put(start: NamedStart, saidAtUnixMs: number, next: (before: Value | undefined) => Value): void {
+    put(start: UpstreamIncarnation, saidAtUnixMs: number, next: (before: Value | undefined) => Value): void {
         const { startedAtMs = 0 } = start;
         const known = this.kept.get(start.id);
         const isOutdated = known !== undefined && startedAtMs > 0 && startedAtMs < known.startedAtMs
@@ -90,16 +90,16 @@
     }
 
     /** What is kept of an upstream, if it binds this start of it. */
-    find(start: NamedStart): Value | undefined {
+    find(start: UpstreamIncarnation): Value | undefined {
         return this.binding(start)?.value;
     }
 
-    private binding(start: NamedStart): Kept<Value> | undefined {
+    private binding(start: UpstreamIncarnation): Kept<Value> | undefined {
         const kept = this.kept.get(start.id);
         return kept !== undefined && this.binds(kept, start) ? kept : undefined;
     }
 
-    private binds(kept: Kept<Value>, start: NamedStart): boolean {
+    private binds(kept: Kept<Value>, start: UpstreamIncarnation): boolean {
         const { startedAtMs = 0 } = start;
         if (startedAtMs > 0) {
             // What an upstream said after a start began was said by that start, whichever was listed then.
@@ -115,5 +115,5 @@
 /** Whether it was this start or a later one that said something at a time of day. */
 const couldSay = (startedAtMs: number, saidAtUnixMs: number): boolean => startedAtMs + clockSkewMs <= saidAtUnixMs;
 
-const endpointOf = ({ address, port }: NamedStart): string | undefined =>
+const endpointOf = ({ address, port }: UpstreamIncarnation): string | undefined =>
     address === undefined ? undefined : `${address}:${String(port)}`;
--- a/packages/decision/src/index.ts
+++ b/packages/decision/src/index.ts
@@ -5,8 +5,8 @@
  */
 
 export { type AttemptEnd, type AttemptResult, outcomeOf } from "./attempt-result.js";
-export { type Belief, type BeliefOptions, defaultBeliefOptions } from "./belief.js";
-export { type Choice, type Chooser, type ChooserInput } from "./chooser.js";
+export { CallerTimeoutEstimator } from "./caller-timeout-estimator.js";
+export { type Chooser, type ChooserInput, type Selection } from "./chooser.js";
 export { choosers, drawNumbers } from "./choosers.js";
 export {
     type ColdAdmission,
@@ -15,8 +15,8 @@
     type SharedColdAdmissionOptions,
     unboundedColdAdmission,
 } from "./cold-admission.js";
-export { CrashLedger, type CrashLedgerOptions } from "./crash-ledger.js";
-export { withheldRequests } from "./crash-verdict.js";
+export { CrashHistory, type CrashHistoryOptions } from "./crash-history.js";
+export { type CrashRecord } from "./crash-record.js";
 export { decide, type DecisionPolicy, retryAfterOf } from "./decide.js";
 export { type DecisionInput } from "./decision-input.js";
 export {
@@ -27,27 +27,35 @@
     type PolicyFailure,
     type RefuseDecision,
 } from "./decision.js";
-export { type EndedRun } from "./ended-run.js";
-export { toExpectation } from "./expectation.js";
-export { workTime } from "./expected-time-chooser.js";
-export { LimitAdmission, type LimitAdmissionOptions, type LimitPace, type LimitShare, wholeShare } from "./limit-admission.js";
+export { expectedResponseTime } from "./expected-time-chooser.js";
+export { LatencyBaselines } from "./latency-baselines.js";
+export { fullShare, LimitAdmission, type LimitAdmissionOptions, type LimitPace, type LimitShare } from "./limit-admission.js";
+export { predictLoad } from "./load-prediction.js";
 export { type LoadFigures, type Observation } from "./observation.js";
-export { bestTime, isGoodNow, mayBeChosen, probeTargets, type Room, roomAtBest, roomInMs } from "./probe-targets.js";
-export { type RequestPattern } from "./request-traits.js";
-export { comeBackMs, waitForAllMs, type Waiting } from "./resting.js";
+export { detectPoisonRequests } from "./poison-detection.js";
+export {
+    type Headroom,
+    headroomAtBest,
+    headroomInMs,
+    isEligible,
+    isKnownGood,
+    minExpectedTime,
+    selectProbeTargets,
+} from "./probe-targets.js";
+export { type RequestSignature } from "./request-attributes.js";
 export { RetryBudget, type RetryBudgetOptions } from "./retry-budget.js";
-export { type ServiceBeliefsOptions } from "./service-beliefs-options.js";
-export { ServiceBeliefs } from "./service-beliefs.js";
-export { initialDynamics, type WorkReading } from "./service-dynamics.js";
-export { type Flight, isSameStart, type KnownUpstream } from "./tracked-upstream.js";
+export { initialLoadModel, type ResponseSample } from "./service-load-model.js";
+export { type InFlightRequest, isSameIncarnation, type UpstreamEntry } from "./tracked-upstream.js";
+export { earliestAvailableMs, jitteredRetryAfterMs, type UpstreamWait } from "./upstream-backoff.js";
+export { defaultEstimateOptions, type EstimateOptions, type UpstreamEstimate } from "./upstream-estimate.js";
 export {
-    type KnownLimit,
     type LimitChange,
-    type LimitWord,
-    type ToldLimit,
+    type LimitNotice,
+    type StoredLimit,
+    type UpstreamLimitNotice,
     UpstreamLimits,
     type UpstreamLimitsOptions,
 } from "./upstream-limits.js";
 export { UpstreamNotices, type UpstreamNoticesOptions } from "./upstream-notices.js";
-export { UsualPatience } from "./usual-patience.js";
-export { UsualTimes } from "./usual-time.js";
+export { type UpstreamTrackerOptions } from "./upstream-tracker-options.js";
+export { UpstreamTracker } from "./upstream-tracker.js";
--- a/packages/decision/src/usual-time.ts
+++ b/packages/decision/src/latency-baselines.ts
@@ -56,7 +56,7 @@
 const summaryMs = 500;
 
 /** Learns the usual time of work from the answers to one instance's own requests. */
-export class UsualTimes {
+export class LatencyBaselines {
     private readonly recent = new Map<string, Answers>();
     private readonly summaries = new Map<string, Summary>();
 
@@ -71,7 +71,7 @@
      * @param expectedTime - What was expected where it was sent, in times of usual work: an answer from a slow or
      *   busy upstream tells of usual work only by that.
      */
-    observe(kind: string, latencyMs: number, expectedTime = 1): void {
+    record(kind: string, latencyMs: number, expectedTime = 1): void {
         const answers = this.recent.get(kind) ?? { undisturbed: [], disturbed: [] };
         const isUndisturbed = expectedTime <= undisturbedTime;
         const sort = isUndisturbed ? answers.undisturbed : answers.disturbed;
@@ -84,12 +84,12 @@
     }
 
     /** Milliseconds that work usually takes; `undefined` while not enough is known. */
-    of(kind: string): number | undefined {
+    baselineOf(kind: string): number | undefined {
         return this.summaryOf(kind).usualMs;
     }
 
     /** Milliseconds within which nine in ten are answered where nothing is in the way; `undefined` while not enough is known. */
-    mostOf(kind: string): number | undefined {
+    p90Of(kind: string): number | undefined {
         return this.summaryOf(kind).mostMs;
     }
 
--- a/packages/decision/src/limit-admission.ts
+++ b/packages/decision/src/limit-admission.ts
@@ -5,22 +5,22 @@
  */
 
 import type { Clock, RandomSource, UpstreamId } from "@harrierhitch/core";
-import type { NamedStart } from "./by-start.js";
-import { LimitTurns } from "./limit-turns.js";
-import type { KnownLimit, UpstreamLimits } from "./upstream-limits.js";
+import type { UpstreamIncarnation } from "./incarnation-map.js";
+import { LimitTurns } from "./permit-schedule.js";
+import type { StoredLimit, UpstreamLimits } from "./upstream-limits.js";
 
 /** This instance's part in sending to one upstream. */
 export interface LimitShare {
     /** Whether it is one of those that share the upstream's limit. */
-    readonly isSharer: boolean;
+    readonly isParticipant: boolean;
     /** How many share it. */
-    readonly sharers: number;
+    readonly participants: number;
     /** How many instances there may be. */
     readonly members: number;
 }
 
 /** The share of an instance that belongs to no fleet. */
-export const wholeShare: LimitShare = { isSharer: true, sharers: 1, members: 1 };
+export const fullShare: LimitShare = { isParticipant: true, participants: 1, members: 1 };
 
 /** How fast this instance may send to an upstream, and when it may next. */
 export interface LimitPace extends LimitShare {
@@ -86,7 +86,7 @@
     readonly share: LimitShare;
     readonly wanted: number;
     readonly perSecond: number;
-    readonly limit: KnownLimit;
+    readonly limit: StoredLimit;
 }
 
 /** Admits requests to upstreams that name how many they take. */
@@ -97,12 +97,12 @@
     constructor(private readonly options: LimitAdmissionOptions) {}
 
     /** Whether no upstream has ever named a limit. */
-    get isIdle(): boolean {
+    get hasNoLimits(): boolean {
         return this.options.limits.isEmpty;
     }
 
     /** How fast this instance may send to a start of an upstream; `undefined` where that names no limit. */
-    paceOf(start: NamedStart): LimitPace | undefined {
+    paceOf(start: UpstreamIncarnation): LimitPace | undefined {
         const limit = this.options.limits.find(start);
         if (limit === undefined) {
             this.turns.delete(start.id);
@@ -116,7 +116,7 @@
     }
 
     /** Notes that a request goes to a start; tells whether that is bound by a limit. */
-    noteSent(start: NamedStart): boolean {
+    recordSent(start: UpstreamIncarnation): boolean {
         const isLimited = this.paceOf(start) !== undefined;
         if (isLimited) {
             this.turns.get(start.id)?.noteSent();
@@ -126,12 +126,12 @@
 
     private nextTurn(turns: LimitTurns, { share, wanted, perSecond, limit }: Shared): Pick<LimitPace, "gapMs" | "waitMs"> {
         const nowMs = this.options.clock.nowMs();
-        if (!share.isSharer) {
+        if (!share.isParticipant) {
             const gapMs = share.members / (perSecond * carefulShare) * secondMs;
-            return { gapMs, waitMs: turns.savedWaitMs(nowMs, gapMs, 1, limit.heardAtMs + patienceMs) };
+            return { gapMs, waitMs: turns.savedWaitMs(nowMs, gapMs, 1, limit.receivedAtMs + patienceMs) };
         }
-        const gapMs = share.sharers / perSecond * secondMs;
-        return share.sharers === wanted
+        const gapMs = share.participants / perSecond * secondMs;
+        return share.participants === wanted
             ? { gapMs, waitMs: turns.periodWaitMs(nowMs, gapMs) }
             : { gapMs, waitMs: turns.savedWaitMs(nowMs, gapMs, Math.max(1, savedMs / gapMs)) };
     }
--- a/packages/decision/src/expectation.ts
+++ b/packages/decision/src/load-prediction.ts
@@ -5,17 +5,17 @@
  */
 
 import type { UpstreamFacts } from "@harrierhitch/policy";
-import { bestInFlight, crowdingOf } from "./crowding.js";
-import { keptShare, residenceMsOf, type ServiceDynamics, slownessLastsMs } from "./service-dynamics.js";
+import { bestInFlight, crowdingOf } from "./contention.js";
+import { keptShare, residenceMsOf, type ServiceLoadModel, slownessLastsMs } from "./service-load-model.js";
 
 /** What the expectation rests on. */
-export type KnownLoad = Pick<
+export type LoadSample = Pick<
     UpstreamFacts,
     "inFlight" | "reportedInFlight" | "reportAgeMs" | "sentSinceReport" | "slowness" | "slots"
 >;
 
 /** What is expected. */
-export type Expectation = Pick<UpstreamFacts, "expectedInFlight" | "expectedSlowness" | "crowding" | "bestInFlight">;
+export type LoadPrediction = Pick<UpstreamFacts, "expectedInFlight" | "expectedSlowness" | "crowding" | "bestInFlight">;
 
 /**
  * Works out what is expected of an upstream now.
@@ -29,7 +29,7 @@
  * @param dynamics - What is usual in the service.
  * @param isTrial - Whether to take fuller upstreams for as good as others where too little is known of them.
  */
-export const toExpectation = (known: KnownLoad, dynamics: ServiceDynamics, isTrial = false): Expectation => {
+export const predictLoad = (known: LoadSample, dynamics: ServiceLoadModel, isTrial = false): LoadPrediction => {
     const factors = isTrial ? dynamics.crowding.optimistic : dynamics.crowding.pessimistic;
     const expectedInFlight = Math.max(known.inFlight, expectedLoad(known, dynamics));
     return {
@@ -41,8 +41,8 @@
 };
 
 const expectedLoad = (
-    { reportAgeMs, reportedInFlight, sentSinceReport, slots }: KnownLoad,
-    dynamics: ServiceDynamics,
+    { reportAgeMs, reportedInFlight, sentSinceReport, slots }: LoadSample,
+    dynamics: ServiceLoadModel,
 ): number => {
     const usual = dynamics.meanLoad * slots;
     return reportAgeMs < 0
@@ -51,7 +51,7 @@
 };
 
 /** The slowness against what is usual: where all upstreams are slow, waiting for a faster one is no use. */
-const expectedSlowness = ({ reportAgeMs, slowness }: KnownLoad, dynamics: ServiceDynamics): number => {
+const expectedSlowness = ({ reportAgeMs, slowness }: LoadSample, dynamics: ServiceLoadModel): number => {
     const { meanSlowness, usualSlowness } = dynamics;
     if (meanSlowness === undefined) {
         // Upstreams that report nothing would otherwise all look slow for good, and their requests wait for news that never come.
--- a/packages/decision/src/observation.ts
+++ b/packages/decision/src/observation.ts
@@ -13,7 +13,7 @@
 }
 
 /** The upstream is leaving, by its own word, the list's or another instance's. */
-export interface LeavingObservation {
+export interface DrainObservation {
     readonly type: "draining";
     readonly atMs: number;
     /** When the upstream said so itself, in milliseconds since the Unix epoch; absent where others told. */
@@ -21,10 +21,10 @@
 }
 
 /** The upstream wants nothing from this instance for a while, by its own word. */
-export interface RestObservation {
+export interface BackoffObservation {
     readonly type: "resting";
     readonly atMs: number;
-    readonly restMs: number;
+    readonly backoffMs: number;
     /** When the upstream said so, in milliseconds since the Unix epoch. */
     readonly saidAtUnixMs: number;
 }
@@ -40,7 +40,7 @@
 }
 
 /** What an upstream said of itself that outlives its entry. */
-export type WordObservation = LeavingObservation | RestObservation | LimitObservation;
+export type NoticeObservation = DrainObservation | BackoffObservation | LimitObservation;
 
 /** One thing that was learned about an upstream, at `atMs` on the instance's clock. */
 export type Observation =
@@ -66,7 +66,7 @@
         readonly type: "shed";
         readonly atMs: number;
     }
-    | WordObservation
+    | NoticeObservation
     | {
         /** The upstream was seen to come back after leaving: a new start. */
         readonly type: "returned";
--- a/packages/decision/src/crash-verdict.ts
+++ b/packages/decision/src/poison-detection.ts
@@ -11,16 +11,16 @@
  * @packageDocumentation
  */
 
-import type { EndedRun } from "./ended-run.js";
+import type { CrashRecord } from "./crash-record.js";
 import {
     allTraits,
+    type AttributeMask,
     differInOthers,
     pathPartOf,
-    patternOf,
-    type RequestPattern,
-    type TraitSet,
+    type RequestSignature,
+    signatureOf,
     traitSets,
-} from "./request-traits.js";
+} from "./request-attributes.js";
 
 /**
  * Upstreams that end under a request before it is withheld. With two, a request that is sent on after it lost its first
@@ -47,27 +47,27 @@
  * The runs that can settle anything: those whose path is asked for by enough of them. All others share no pattern with
  * enough runs, and account for no end.
  */
-const contested = (runs: readonly EndedRun[]): readonly EndedRun[] => {
+const contested = (runs: readonly CrashRecord[]): readonly CrashRecord[] => {
     const counts = new Map<string, number>();
     runs.forEach(({ key }) => counts.set(pathPartOf(key), (counts.get(pathPartOf(key)) ?? 0) + 1));
     return runs.filter(({ key }) => (counts.get(pathPartOf(key)) ?? 0) >= endsToWithhold);
 };
 
 interface Candidate {
-    readonly pattern: RequestPattern;
-    readonly runs: readonly EndedRun[];
+    readonly pattern: RequestSignature;
+    readonly runs: readonly CrashRecord[];
     readonly count: number;
 }
 
-const isAnsweredAlike = (run: EndedRun, set: TraitSet): boolean => (run.answeredAlike >> set & 1) === 1;
+const isAnsweredAlike = (run: CrashRecord, set: AttributeMask): boolean => (run.succeededMasks >> set & 1) === 1;
 
 /**
  * The runs that count: of runs that overlap only one, since a single outage may end many upstreams at once and with them
  * every run of a popular request.
  */
-const oneAfterTheOther = (runs: readonly EndedRun[]): readonly EndedRun[] => {
+const oneAfterTheOther = (runs: readonly CrashRecord[]): readonly CrashRecord[] => {
     const gapMs = runs.some(run => isAnsweredAlike(run, allTraits)) ? outageMs : -resolutionMs;
-    const counted: EndedRun[] = [];
+    const counted: CrashRecord[] = [];
     [...runs].sort((a, b) => a.endedAtUnixMs - b.endedAtUnixMs).forEach(run => {
         const last = counted.at(-1);
         if (last === undefined || run.endedAtUnixMs - run.ranMs >= last.endedAtUnixMs + gapMs) {
@@ -77,14 +77,14 @@
     return counted;
 };
 
-const isSameEnd = (a: EndedRun, b: EndedRun): boolean =>
+const isSameEnd = (a: CrashRecord, b: CrashRecord): boolean =>
     a.upstream === b.upstream && Math.abs(a.endedAtUnixMs - b.endedAtUnixMs) <= sameEndMs;
 
 /** The groups of runs that agree in some traits and may show together that these end upstreams. */
-const candidatesFor = (runs: readonly EndedRun[], set: TraitSet): readonly Candidate[] => {
-    const groups = new Map<RequestPattern, EndedRun[]>();
-    runs.filter(run => set === allTraits ? !run.isAnswered : !isAnsweredAlike(run, set)).forEach(run => {
-        const pattern = patternOf(run.key, set);
+const candidatesFor = (runs: readonly CrashRecord[], set: AttributeMask): readonly Candidate[] => {
+    const groups = new Map<RequestSignature, CrashRecord[]>();
+    runs.filter(run => set === allTraits ? !run.hasSucceeded : !isAnsweredAlike(run, set)).forEach(run => {
+        const pattern = signatureOf(run.key, set);
         groups.set(pattern, [...groups.get(pattern) ?? [], run]);
     });
     return [...groups]
@@ -100,15 +100,15 @@
  *   an end as well, does not set it free.
  * @returns What those requests have in common, each with the runs that settled it; the same for any order of the runs.
  */
-export const withheldRequests = (
-    runs: readonly EndedRun[],
-    agreed: ReadonlySet<RequestPattern> = new Set(),
-): ReadonlyMap<RequestPattern, readonly EndedRun[]> => {
+export const detectPoisonRequests = (
+    runs: readonly CrashRecord[],
+    agreed: ReadonlySet<RequestSignature> = new Set(),
+): ReadonlyMap<RequestSignature, readonly CrashRecord[]> => {
     const mattering = contested(runs);
     const candidates = traitSets.flatMap(set => candidatesFor(mattering, set))
         .sort((a, b) => b.count - a.count || (a.pattern < b.pattern ? -1 : 1));
-    const withheld = new Map<RequestPattern, readonly EndedRun[]>();
-    const explained: EndedRun[] = [];
+    const withheld = new Map<RequestSignature, readonly CrashRecord[]>();
+    const explained: CrashRecord[] = [];
     candidates.forEach(({ pattern, runs: own }) => {
         const isAgreed = agreed.has(pattern);
         const counted = oneAfterTheOther(isAgreed ? own : own.filter(run => !explained.some(other => isSameEnd(run, other))));
--- a/packages/decision/src/probe-targets.ts
+++ b/packages/decision/src/probe-targets.ts
@@ -6,7 +6,7 @@
 
 import type { UpstreamFacts } from "@harrierhitch/policy";
 import type { DecisionInput } from "./decision-input.js";
-import { expectedTime, workTime } from "./expected-time-chooser.js";
+import { expectedResponseTime, selectionCost } from "./expected-time-chooser.js";
 
 /** Share of a random draw in the order, in times of usual work, so that instances do not all ask the same upstreams. */
 const drawWeight = 0.3;
@@ -18,8 +18,8 @@
 const freshMs = 20;
 
 /** Whether what is known of an upstream is fresh, and so good that asking others would gain nothing. */
-export const isGoodNow = (upstream: UpstreamFacts): boolean =>
-    mayBeChosen(upstream) && upstream.reportAgeMs >= 0 && upstream.reportAgeMs < freshMs && expectedTime(upstream) < goodTime;
+export const isKnownGood = (upstream: UpstreamFacts): boolean =>
+    isEligible(upstream) && upstream.reportAgeMs >= 0 && upstream.reportAgeMs < freshMs && selectionCost(upstream) < goodTime;
 
 /**
  * Picks the candidates that are likely to be chosen.
@@ -29,14 +29,14 @@
  * @param draw - Gives random numbers of at least 0 and below 1.
  * @returns Their ids, the likeliest first.
  */
-export const probeTargets = (
+export const selectProbeTargets = (
     input: Pick<DecisionInput, "upstreams" | "tried">,
     count: number,
     draw: () => number,
 ): readonly string[] =>
     input.upstreams
-        .filter(upstream => mayBeChosen(upstream) && !input.tried.includes(upstream.id))
-        .map(upstream => ({ id: upstream.id, order: expectedTime(upstream) + drawWeight * draw() }))
+        .filter(upstream => isEligible(upstream) && !input.tried.includes(upstream.id))
+        .map(upstream => ({ id: upstream.id, order: selectionCost(upstream) + drawWeight * draw() }))
         .sort((a, b) => a.order - b.order)
         .slice(0, count)
         .map(({ id }) => id);
@@ -48,13 +48,13 @@
  * @param tried - Ids of those that are left out, because the request has tried them.
  * @returns The time; -1 when none may be chosen.
  */
-export const bestTime = (upstreams: readonly UpstreamFacts[], tried: readonly string[]): number => {
-    const candidates = upstreams.filter(upstream => mayBeChosen(upstream) && !tried.includes(upstream.id));
-    return candidates.length === 0 ? -1 : Math.min(...candidates.map(workTime));
+export const minExpectedTime = (upstreams: readonly UpstreamFacts[], tried: readonly string[]): number => {
+    const candidates = upstreams.filter(upstream => isEligible(upstream) && !tried.includes(upstream.id));
+    return candidates.length === 0 ? -1 : Math.min(...candidates.map(expectedResponseTime));
 };
 
 /** Room at an upstream. */
-export interface Room {
+export interface Headroom {
     /** Requests that it is expected to take before it answers fewer in a given time, with a fraction. */
     readonly room: number;
     /** The same as a share of the requests in flight at which it answers most. */
@@ -68,8 +68,8 @@
  * @param tried - Ids of those that are left out, because the request has tried them, unless only they are left.
  * @returns The room; none when none may be chosen.
  */
-export const roomAtBest = (upstreams: readonly UpstreamFacts[], tried: readonly string[]): Room => {
-    const [best] = [...candidatesOf(upstreams, tried)].sort((a, b) => workTime(a) - workTime(b));
+export const headroomAtBest = (upstreams: readonly UpstreamFacts[], tried: readonly string[]): Headroom => {
+    const [best] = [...candidatesOf(upstreams, tried)].sort((a, b) => expectedResponseTime(a) - expectedResponseTime(b));
     if (best === undefined) {
         return { room: 0, freeShare: 0 };
     }
@@ -85,7 +85,7 @@
  * @param residenceMs - How long a request stays at an upstream, on average.
  * @returns Milliseconds; -1 when none may be chosen.
  */
-export const roomInMs = (upstreams: readonly UpstreamFacts[], tried: readonly string[], residenceMs: number): number => {
+export const headroomInMs = (upstreams: readonly UpstreamFacts[], tried: readonly string[], residenceMs: number): number => {
     const waits = candidatesOf(upstreams, tried).map(({ bestInFlight, expectedInFlight }) => {
         const over = Math.max(0, expectedInFlight + 1 - bestInFlight);
         return over * residenceMs / Math.max(1, expectedInFlight);
@@ -95,11 +95,11 @@
 
 /** Upstreams that may be chosen: those that the request has not tried, or all where only tried ones are left. */
 const candidatesOf = (upstreams: readonly UpstreamFacts[], tried: readonly string[]): readonly UpstreamFacts[] => {
-    const candidates = upstreams.filter(mayBeChosen);
+    const candidates = upstreams.filter(isEligible);
     const untried = candidates.filter(({ id }) => !tried.includes(id));
     return untried.length > 0 ? untried : candidates;
 };
 
 /** Whether an upstream takes requests now, and has room for one more of this instance. */
-export const mayBeChosen = (upstream: UpstreamFacts): boolean =>
+export const isEligible = (upstream: UpstreamFacts): boolean =>
     upstream.state !== "draining" && upstream.state !== "ejected" && upstream.restMs <= 0 && upstream.inFlight < upstream.limit;
--- a/packages/decision/src/crash-trial.ts
+++ b/packages/decision/src/quarantine-trial.ts
@@ -4,7 +4,7 @@
  * @packageDocumentation
  */
 
-import type { EndedRun } from "./ended-run.js";
+import type { CrashRecord } from "./crash-record.js";
 
 /**
  * Time after which a withheld request is tried, in milliseconds: an outage that took its upstreams is over by then, and it is when
@@ -23,7 +23,7 @@
  * @param own - All its runs.
  * @param nowMs - The time now.
  */
-export const isDueForTrial = (settling: readonly EndedRun[], own: readonly EndedRun[], nowMs: number): boolean => {
+export const isTrialDue = (settling: readonly CrashRecord[], own: readonly CrashRecord[], nowMs: number): boolean => {
     const settledAtMs = settling.at(-1)?.endedAtMs;
     const lastAtMs = Math.max(...own.map(({ endedAtMs }) => endedAtMs));
     return settledAtMs !== undefined
--- a/packages/decision/src/remember.ts
+++ b/packages/decision/src/record-notice.ts
@@ -4,8 +4,8 @@
  * @packageDocumentation
  */
 
-import type { NamedStart } from "./by-start.js";
-import type { Observation, WordObservation } from "./observation.js";
+import type { UpstreamIncarnation } from "./incarnation-map.js";
+import type { NoticeObservation, Observation } from "./observation.js";
 import { isOtherStart, type Tracked } from "./tracked-upstream.js";
 import type { UpstreamLimits } from "./upstream-limits.js";
 import type { UpstreamNotices } from "./upstream-notices.js";
@@ -17,7 +17,7 @@
 }
 
 /** Whether an observation is a word of an upstream on itself. */
-export const isWord = (observation: Observation): observation is WordObservation =>
+export const isWord = (observation: Observation): observation is NoticeObservation =>
     observation.type === "draining" || observation.type === "resting" || observation.type === "limited";
 
 /**
@@ -31,8 +31,8 @@
  */
 export const remember = (
     memory: Memory,
-    start: NamedStart,
-    observation: WordObservation,
+    start: UpstreamIncarnation,
+    observation: NoticeObservation,
     tracked: Tracked | undefined,
 ): boolean => {
     const { startedAtMs = 0 } = start;
@@ -41,20 +41,20 @@
     }
     const { upstream, belief } = tracked;
     // News of a start without a name from before this one became known are about an earlier one.
-    return observation.atMs >= belief.bornAtMs
+    return observation.atMs >= belief.createdAtMs
         && note(memory, { ...upstream, startedAtMs: Math.max(startedAtMs, upstream.startedAtMs ?? 0) }, observation);
 };
 
-const note = ({ notices, limits }: Memory, start: NamedStart, observation: WordObservation): boolean => {
+const note = ({ notices, limits }: Memory, start: UpstreamIncarnation, observation: NoticeObservation): boolean => {
     switch (observation.type) {
         case "draining":
-            notices.noteLeaving(start, observation.saidAtUnixMs ?? 0);
+            notices.recordDraining(start, observation.saidAtUnixMs ?? 0);
             return false;
         case "resting":
-            notices.noteRest(start, observation.saidAtUnixMs, observation.restMs);
+            notices.recordBackoff(start, observation.saidAtUnixMs, observation.backoffMs);
             return false;
         case "limited":
-            return limits.hear(start, observation.perSecond, observation.sentAtMs);
+            return limits.record(start, observation.perSecond, observation.sentAtMs);
     }
 };
 
@@ -67,9 +67,9 @@
 ): boolean => {
     switch (observation.type) {
         case "draining":
-            return notices.isLeaving(upstream);
+            return notices.isDraining(upstream);
         case "resting":
-            return notices.restLeftMs(upstream) > 0;
+            return notices.remainingBackoffMs(upstream) > 0;
         default:
             return !isOtherStart(upstream, startedAtMs);
     }
--- a/packages/decision/src/retry-budget.ts
+++ b/packages/decision/src/retry-budget.ts
@@ -7,9 +7,9 @@
 /** Options of {@link RetryBudget}. */
 export interface RetryBudgetOptions {
     /** Retries allowed per request, for example 0.1. */
-    readonly share: number;
+    readonly ratio: number;
     /** Most retries that can be saved up. */
-    readonly maximumSaved?: number;
+    readonly maximumBalance?: number;
 }
 
 const defaultMaximumSaved = 10;
@@ -28,8 +28,8 @@
 
     /** @param options - Share and bound. */
     constructor(options: RetryBudgetOptions) {
-        this.maximumSaved = options.maximumSaved ?? defaultMaximumSaved;
-        this.share = options.share;
+        this.maximumSaved = options.maximumBalance ?? defaultMaximumSaved;
+        this.share = options.ratio;
         this.saved = this.maximumSaved;
     }
 
@@ -41,12 +41,12 @@
     }
 
     /** Notes one request, which earns its share. */
-    earn(): void {
+    deposit(): void {
         this.saved = Math.min(this.maximumSaved, this.saved + this.share);
     }
 
     /** Whether there is a retry to take. */
-    canTake(): boolean {
+    canWithdraw(): boolean {
         return this.saved >= 1 - roundingError;
     }
 
@@ -55,8 +55,8 @@
      *
      * @returns Whether there was one.
      */
-    take(): boolean {
-        if (!this.canTake()) {
+    tryWithdraw(): boolean {
+        if (!this.canWithdraw()) {
             return false;
         }
         this.saved -= 1;
--- a/packages/decision/src/consider.ts
+++ b/packages/decision/src/select-candidates.ts
@@ -5,7 +5,7 @@
  */
 
 import type { UpstreamId } from "@harrierhitch/core";
-import { maximumShortlist, shortlist } from "./shortlist.js";
+import { maximumShortlist, shortlist } from "./sample-candidates.js";
 import type { Tracked } from "./tracked-upstream.js";
 
 /** What the choice of them depends on. */
--- a/packages/decision/src/service-dynamics.ts
+++ b/packages/decision/src/service-load-model.ts
@@ -4,10 +4,10 @@
  * @packageDocumentation
  */
 
-import { type CrowdingCurve, initialCrowding, noteCrowding } from "./crowding.js";
+import { type CrowdingCurve, initialCrowding, noteCrowding } from "./contention.js";
 
-/** How fast things change at the upstreams of a service; an immutable value, changed by {@link afterReport} and {@link afterAnswer}. */
-export interface ServiceDynamics {
+/** How fast things change at the upstreams of a service; an immutable value, changed by {@link updateFromReport} and {@link updateFromResponse}. */
+export interface ServiceLoadModel {
     /** Mean of the reported slowness: what is expected where nothing fresh is known; `undefined` before the first report. */
     readonly meanSlowness: number | undefined;
     /** Slowness that a quarter of the reports are below: what counts as usual, where all upstreams have become slow too. */
@@ -39,15 +39,15 @@
 }
 
 /** One answer that arrived, with what was expected when its request was sent. */
-export interface WorkReading {
+export interface ResponseSample {
     readonly atMs: number;
     readonly latencyMs: number;
     /** How long work of this kind usually takes; `undefined` while that is not known. */
-    readonly usualMs: number | undefined;
+    readonly baselineMs: number | undefined;
     /** Share of the slots in use with this request, as expected when it was sent. */
-    readonly fill: number;
+    readonly utilization: number;
     /** Slowness expected when it was sent. */
-    readonly slowness: number;
+    readonly expectedSlowdown: number;
     /** Age of the report that the two come from; -1 without one. */
     readonly reportAgeMs: number;
 }
@@ -90,7 +90,7 @@
 const maximumLoad = 4;
 
 /** The dynamics of a service of which nothing is known. */
-export const initialDynamics: ServiceDynamics = {
+export const initialLoadModel: ServiceLoadModel = {
     meanSlowness: undefined,
     usualSlowness: 1,
     meanLoad: 0,
@@ -100,11 +100,11 @@
 };
 
 /** Time for which a reported slowness stays true, on average. */
-export const slownessLastsMs = ({ change }: ServiceDynamics): number =>
+export const slownessLastsMs = ({ change }: ServiceLoadModel): number =>
     Math.min(longestKeptMs, Math.max(shortestKeptMs, change.spread / change.difference));
 
 /** Time for which a request stays at an upstream, on average. */
-export const residenceMsOf = ({ residenceMs }: ServiceDynamics): number => residenceMs ?? priorResidenceMs;
+export const residenceMsOf = ({ residenceMs }: ServiceLoadModel): number => residenceMs ?? priorResidenceMs;
 
 /**
  * Makes the dynamics that follows from a report.
@@ -113,11 +113,11 @@
  * @param report - The report.
  * @param before - The report before it of the same upstream; `undefined` without one.
  */
-export const afterReport = (
-    dynamics: ServiceDynamics,
+export const updateFromReport = (
+    dynamics: ServiceLoadModel,
     report: LoadReading,
     before: LoadReading | undefined,
-): ServiceDynamics => ({
+): ServiceLoadModel => ({
     ...dynamics,
     meanSlowness: meanSlownessOf(dynamics) + slownessShare * (report.slowness - meanSlownessOf(dynamics)),
     usualSlowness: dynamics.usualSlowness * (1 + usualStep * (usualShare - (report.slowness < dynamics.usualSlowness ? 1 : 0))),
@@ -126,22 +126,28 @@
 });
 
 /** Makes the dynamics that follows from an answer. */
-export const afterAnswer = (dynamics: ServiceDynamics, answer: WorkReading): ServiceDynamics => ({
+export const updateFromResponse = (dynamics: ServiceLoadModel, answer: ResponseSample): ServiceLoadModel => ({
     ...dynamics,
     residenceMs: dynamics.residenceMs === undefined ? answer.latencyMs : mean(dynamics.residenceMs, answer.latencyMs),
-    crowding: answer.usualMs === undefined || answer.reportAgeMs < 0 || answer.reportAgeMs > freshMs || answer.slowness <= 0
-        ? dynamics.crowding
-        : noteCrowding(dynamics.crowding, answer.fill, answer.latencyMs / (answer.usualMs * answer.slowness), answer.atMs),
+    crowding:
+        answer.baselineMs === undefined || answer.reportAgeMs < 0 || answer.reportAgeMs > freshMs || answer.expectedSlowdown <= 0
+            ? dynamics.crowding
+            : noteCrowding(
+                dynamics.crowding,
+                answer.utilization,
+                answer.latencyMs / (answer.baselineMs * answer.expectedSlowdown),
+                answer.atMs,
+            ),
 });
 
 /** Share of what was reported that still holds after some time, against what is usual. */
 export const keptShare = (ageMs: number, keptMs: number): number => Math.exp(-ageMs / keptMs);
 
-const meanSlownessOf = ({ meanSlowness }: ServiceDynamics): number => meanSlowness ?? priorSlowness;
+const meanSlownessOf = ({ meanSlowness }: ServiceLoadModel): number => meanSlowness ?? priorSlowness;
 
 const mean = (before: number, reading: number): number => before + readingShare * (reading - before);
 
-const afterPair = (dynamics: ServiceDynamics, before: LoadReading, after: LoadReading): SlownessChange => {
+const afterPair = (dynamics: ServiceLoadModel, before: LoadReading, after: LoadReading): SlownessChange => {
     const gapMs = after.atMs - before.atMs;
     // Reports further apart than the slowness lasts tell only that it has changed, not when.
     if (gapMs <= 0 || gapMs > slownessLastsMs(dynamics)) {
--- a/packages/decision/src/baseline-choosers.ts
+++ b/packages/decision/src/standard-choosers.ts
@@ -6,7 +6,7 @@
 
 import type { ChooserName } from "@harrierhitch/configuration";
 import type { UpstreamFacts } from "@harrierhitch/policy";
-import type { Choice, Chooser, ChooserInput } from "./chooser.js";
+import type { Chooser, ChooserInput, Selection } from "./chooser.js";
 import { all, lowest, pick, sample } from "./compare.js";
 
 const noScores: readonly number[] = [];
@@ -15,8 +15,8 @@
 export class RoundRobinChooser implements Chooser {
     readonly name: ChooserName = "round-robin";
 
-    choose(input: ChooserInput): Choice {
-        return { index: input.turn % input.candidates.length, scores: noScores };
+    select(input: ChooserInput): Selection {
+        return { index: input.sequence % input.candidates.length, scores: noScores };
     }
 }
 
@@ -24,7 +24,7 @@
 export class RandomChooser implements Chooser {
     readonly name: ChooserName = "random";
 
-    choose(input: ChooserInput): Choice {
+    select(input: ChooserInput): Selection {
         return { index: pick(input.draws[0], input.candidates.length), scores: noScores };
     }
 }
@@ -33,7 +33,7 @@
 export class LeastOutstandingChooser implements Chooser {
     readonly name: ChooserName = "least-outstanding";
 
-    choose(input: ChooserInput): Choice {
+    select(input: ChooserInput): Selection {
         return lowest(input, all(input), inFlightOf);
     }
 }
@@ -42,7 +42,7 @@
 export class TwoChoicesChooser implements Chooser {
     readonly name: ChooserName = "two-choices";
 
-    choose(input: ChooserInput): Choice {
+    select(input: ChooserInput): Selection {
         return lowest(input, sample(input, 2), input.rank ?? inFlightOf);
     }
 }
@@ -51,7 +51,7 @@
 export class LatencyAverageChooser implements Chooser {
     readonly name: ChooserName = "latency-average";
 
-    choose(input: ChooserInput): Choice {
+    select(input: ChooserInput): Selection {
         return lowest(input, all(input), candidate => candidate.latencyMs * (candidate.inFlight + 1));
     }
 }
@@ -60,7 +60,7 @@
 export class LowestRankChooser implements Chooser {
     readonly name: ChooserName = "lowest-rank";
 
-    choose(input: ChooserInput): Choice {
+    select(input: ChooserInput): Selection {
         return lowest(input, all(input), input.rank ?? inFlightOf);
     }
 }
--- a/packages/decision/src/answered-keys.ts
+++ b/packages/decision/src/succeeded-keys.ts
@@ -5,7 +5,7 @@
  */
 
 import type { RequestKey } from "@harrierhitch/core";
-import { agreeingSets, pathPartOf } from "./request-traits.js";
+import { agreeingSets, pathPartOf } from "./request-attributes.js";
 
 /** Most keys that are remembered, the latest of them: a megabyte, and minutes of an instance's requests. */
 const maximumKeys = 4096;
--- a/packages/decision/src/tracked-upstream.ts
+++ b/packages/decision/src/tracked-upstream.ts
@@ -7,38 +7,38 @@
 import type { Upstream } from "@harrierhitch/configuration";
 import type { UpstreamId } from "@harrierhitch/core";
 import type { UpstreamFacts } from "@harrierhitch/policy";
-import type { Belief } from "./belief.js";
-import { toExpectation } from "./expectation.js";
 import type { LimitPace } from "./limit-admission.js";
-import type { LoadReading, ServiceDynamics } from "./service-dynamics.js";
+import { predictLoad } from "./load-prediction.js";
+import type { LoadReading, ServiceLoadModel } from "./service-load-model.js";
+import type { UpstreamEstimate } from "./upstream-estimate.js";
 
 /** One request in flight to an upstream. */
-export interface Flight {
+export interface InFlightRequest {
     readonly upstream: UpstreamId;
-    readonly startedAtMs: number;
+    readonly sentAtMs: number;
 }
 
 /** An upstream, with the time for which it will answer slowly and its start, where they are known. */
-export type KnownUpstream = Upstream & {
+export type UpstreamEntry = Upstream & {
     readonly coldMs?: number;
     /** When this start of it began, in milliseconds since the Unix epoch; 0 or absent where it does not say. */
     readonly startedAtMs?: number;
 };
 
 /** Whether two entries speak of one start: an upstream that started again holds and knows nothing of before. */
-export const isSameStart = (a: KnownUpstream, b: KnownUpstream): boolean =>
+export const isSameIncarnation = (a: UpstreamEntry, b: UpstreamEntry): boolean =>
     a.address === b.address && a.port === b.port && (a.startedAtMs ?? 0) === (b.startedAtMs ?? 0);
 
 /** Whether something was learned of another start of an upstream than the one that is listed; what names none may be of this one. */
-export const isOtherStart = ({ startedAtMs: known = 0 }: KnownUpstream, startedAtMs: number): boolean =>
+export const isOtherStart = ({ startedAtMs: known = 0 }: UpstreamEntry, startedAtMs: number): boolean =>
     known > 0 && startedAtMs > 0 && known !== startedAtMs;
 
 /** An upstream with what is believed of it and what is in flight there. */
 export interface Tracked {
-    readonly upstream: KnownUpstream;
-    belief: Belief;
+    readonly upstream: UpstreamEntry;
+    belief: UpstreamEstimate;
     /** Requests in flight, oldest first. */
-    readonly flights: Set<Flight>;
+    readonly flights: Set<InFlightRequest>;
 }
 
 /**
@@ -52,7 +52,7 @@
 
 /** What the facts of an upstream depend on besides itself. */
 export interface FactsContext {
-    readonly dynamics: ServiceDynamics;
+    readonly dynamics: ServiceLoadModel;
     readonly nowMs: number;
     /** Availability zone of this instance. */
     readonly availabilityZone: string;
@@ -67,7 +67,7 @@
 }
 
 /** The last report of an upstream; `undefined` without one. */
-export const readingOf = ({ slots }: KnownUpstream, belief: Belief): LoadReading | undefined =>
+export const readingOf = ({ slots }: UpstreamEntry, belief: UpstreamEstimate): LoadReading | undefined =>
     belief.reportedAtMs === undefined
         ? undefined
         : {
@@ -102,15 +102,15 @@
         sameZone: upstream.availabilityZone === availabilityZone,
         state: belief.state,
         limit: isAdmitted ? Math.floor(belief.limit) : 0,
-        oldestInFlightMs: oldest === undefined ? 0 : nowMs - oldest.startedAtMs,
+        oldestInFlightMs: oldest === undefined ? 0 : nowMs - oldest.sentAtMs,
         latencyMs: belief.latencyMs,
-        latencyAgeMs: belief.answeredAtMs === undefined ? -1 : nowMs - belief.answeredAtMs,
+        latencyAgeMs: belief.lastResponseAtMs === undefined ? -1 : nowMs - belief.lastResponseAtMs,
         failureRate: belief.failureRate,
         restMs,
         takesPerSecond: pace?.perSecond ?? -1,
         shareGapMs: pace?.gapMs ?? 0,
         shareInMs: pace?.waitMs ?? 0,
         ...known,
-        ...toExpectation(known, dynamics, isTrial),
+        ...predictLoad(known, dynamics, isTrial),
     };
 };
--- a/packages/decision/src/resting.ts
+++ b/packages/decision/src/upstream-backoff.ts
@@ -20,7 +20,7 @@
 const spreadShare = 0.5;
 
 /** What the wait for an upstream depends on. */
-export type Waiting = Pick<UpstreamFacts, "state" | "restMs" | "shareInMs">;
+export type UpstreamWait = Pick<UpstreamFacts, "state" | "restMs" | "shareInMs">;
 
 /**
  * Time until the first upstream takes a request of this instance, where all that are there rest or are limited.
@@ -28,7 +28,7 @@
  * @param upstreams - What is believed of them.
  * @returns Milliseconds; `undefined` where some take requests now, or none is there.
  */
-export const waitForAllMs = (upstreams: readonly Waiting[]): number | undefined => {
+export const earliestAvailableMs = (upstreams: readonly UpstreamWait[]): number | undefined => {
     const staying = upstreams.filter(({ state }) => state !== "draining");
     const usable = staying.filter(({ state }) => state !== "ejected");
     const waitMs = Math.min(...usable.map(waitForMs));
@@ -39,10 +39,10 @@
 };
 
 /** Time until an upstream takes a request of this instance, in milliseconds. */
-const waitForMs = ({ restMs, shareInMs }: Waiting): number => Math.max(restMs, shareInMs);
+const waitForMs = ({ restMs, shareInMs }: UpstreamWait): number => Math.max(restMs, shareInMs);
 
 /** Whether limits bind some of the upstreams, and not rests all of them. */
-export const isLimited = (upstreams: readonly Waiting[]): boolean =>
+export const isLimited = (upstreams: readonly UpstreamWait[]): boolean =>
     upstreams.some(({ state, restMs, shareInMs }) => state !== "draining" && restMs <= 0 && shareInMs > 0);
 
 /**
@@ -52,7 +52,7 @@
  * @param ahead - Requests that wait here and go first.
  * @param upstreams - What is believed of them.
  */
-export const turnInMs = (waitMs: number, ahead: number, upstreams: readonly UpstreamFacts[]): number => {
+export const queueWaitMs = (waitMs: number, ahead: number, upstreams: readonly UpstreamFacts[]): number => {
     const perMs = upstreams.reduce((sum, { shareGapMs }) => sum + (shareGapMs > 0 ? 1 / shareGapMs : 0), 0);
     return perMs === 0 ? waitMs : waitMs + ahead / perMs;
 };
@@ -64,5 +64,5 @@
  * @param draw - A random number of at least 0 and below 1.
  * @returns Milliseconds.
  */
-export const comeBackMs = (restMs: number, draw: number): number =>
+export const jitteredRetryAfterMs = (restMs: number, draw: number): number =>
     restMs + draw * Math.max(shortestSpreadMs, restMs * spreadShare);
--- a/packages/decision/src/belief.ts
+++ b/packages/decision/src/upstream-estimate.ts
@@ -8,11 +8,11 @@
 import type { LoadFigures, Observation } from "./observation.js";
 
 /** Numbers that say how beliefs change; see docs/DECISIONS.md for how they were found. */
-export interface BeliefOptions {
+export interface EstimateOptions {
     /** Share of a new latency in the decayed average. */
-    readonly latencyShare: number;
+    readonly latencyAlpha: number;
     /** Share of a new result in the decayed failure rate. */
-    readonly failureShare: number;
+    readonly failureAlpha: number;
     /** Failures in a row after which an upstream is ejected. */
     readonly ejectAfterFailures: number;
     /** Decayed failure rate above which an upstream is ejected. */
@@ -28,9 +28,9 @@
 }
 
 /** Options that suit upstreams with a few slots. */
-export const defaultBeliefOptions: BeliefOptions = {
-    latencyShare: 0.2,
-    failureShare: 0.1,
+export const defaultEstimateOptions: EstimateOptions = {
+    latencyAlpha: 0.2,
+    failureAlpha: 0.1,
     ejectAfterFailures: 3,
     ejectFailureRate: 0.5,
     ejectionMs: 1000,
@@ -40,9 +40,9 @@
 };
 
 /** An immutable belief; {@link update} makes the next one. */
-export interface Belief {
+export interface UpstreamEstimate {
     /** Time at which the upstream became known or came back; older news of its leaving is void. */
-    readonly bornAtMs: number;
+    readonly createdAtMs: number;
     readonly state: UpstreamState;
     /** Time of the last change of state. */
     readonly stateAtMs: number;
@@ -50,11 +50,11 @@
     readonly ejectedUntilMs: number;
     /** Ejections in a row. */
     readonly ejections: number;
-    readonly failuresInRow: number;
+    readonly consecutiveFailures: number;
     readonly failureRate: number;
     readonly latencyMs: number;
     /** Time of the last answer; `undefined` before the first. */
-    readonly answeredAtMs: number | undefined;
+    readonly lastResponseAtMs: number | undefined;
     readonly reportedInFlight: number;
     /** Time of the last report; `undefined` without one. */
     readonly reportedAtMs: number | undefined;
@@ -70,16 +70,16 @@
 }
 
 /** The belief about an upstream of which nothing is known. */
-export const initialBelief = (options: BeliefOptions, atMs: number): Belief => ({
-    bornAtMs: atMs,
+export const initialEstimate = (options: EstimateOptions, atMs: number): UpstreamEstimate => ({
+    createdAtMs: atMs,
     state: "ready",
     stateAtMs: atMs,
     ejectedUntilMs: 0,
     ejections: 0,
-    failuresInRow: 0,
+    consecutiveFailures: 0,
     failureRate: 0,
     latencyMs: 0,
-    answeredAtMs: undefined,
+    lastResponseAtMs: undefined,
     reportedInFlight: 0,
     reportedAtMs: undefined,
     sentSinceReport: 0,
@@ -97,7 +97,12 @@
  * @param options - How beliefs change.
  * @param mayEject - Whether the cap on ejected upstreams leaves room for one more.
  */
-export const update = (belief: Belief, observation: Observation, options: BeliefOptions, mayEject: () => boolean): Belief => {
+export const update = (
+    belief: UpstreamEstimate,
+    observation: Observation,
+    options: EstimateOptions,
+    mayEject: () => boolean,
+): UpstreamEstimate => {
     switch (observation.type) {
         case "started":
             return { ...belief, sentSinceReport: belief.sentSinceReport + 1 };
@@ -110,7 +115,7 @@
         case "shed":
             return { ...belief, limit: Math.max(1, belief.limit * shedFactor) };
         case "draining":
-            return belief.state === "draining" || observation.atMs < belief.bornAtMs
+            return belief.state === "draining" || observation.atMs < belief.createdAtMs
                 ? belief
                 : withState(belief, "draining", observation.atMs);
         case "resting":
@@ -120,7 +125,7 @@
             return belief;
         case "returned":
             return {
-                ...withState(initialBelief(options, observation.atMs), "cold", observation.atMs),
+                ...withState(initialEstimate(options, observation.atMs), "cold", observation.atMs),
                 limit: coldLimit,
                 coldMs: observation.coldMs ?? options.coldMs,
             };
@@ -139,9 +144,9 @@
  * @param belief - The belief so far.
  * @param nowMs - The time now.
  */
-export const atTime = (belief: Belief, nowMs: number): Belief => {
+export const atTime = (belief: UpstreamEstimate, nowMs: number): UpstreamEstimate => {
     if (belief.state === "ejected" && nowMs >= belief.ejectedUntilMs) {
-        return { ...withState(belief, "suspect", nowMs), limit: 1, failuresInRow: 0 };
+        return { ...withState(belief, "suspect", nowMs), limit: 1, consecutiveFailures: 0 };
     }
     return belief.state === "cold" && nowMs >= belief.stateAtMs + belief.coldMs
         ? withState(belief, "ready", nowMs)
@@ -155,12 +160,16 @@
 /** Decayed failure rate with which an upstream leaves the state `suspect`. */
 const recoveredFailureRate = 0.25;
 
-const withState = (belief: Belief, state: UpstreamState, atMs: number): Belief => ({ ...belief, state, stateAtMs: atMs });
+const withState = (belief: UpstreamEstimate, state: UpstreamState, atMs: number): UpstreamEstimate => ({
+    ...belief,
+    state,
+    stateAtMs: atMs,
+});
 
 const afterReport = (
-    belief: Belief,
+    belief: UpstreamEstimate,
     report: LoadFigures & { readonly atMs: number; readonly reportedInFlight: number | undefined; },
-): Belief =>
+): UpstreamEstimate =>
     report.reportedInFlight === undefined
         ? belief
         : {
@@ -173,15 +182,15 @@
         };
 
 const afterSuccess = (
-    belief: Belief,
+    belief: UpstreamEstimate,
     answer: { readonly atMs: number; readonly latencyMs: number; },
-    options: BeliefOptions,
-): Belief => {
-    const first = belief.answeredAtMs === undefined;
+    options: EstimateOptions,
+): UpstreamEstimate => {
+    const first = belief.lastResponseAtMs === undefined;
     const latencyMs = first
         ? answer.latencyMs
-        : belief.latencyMs + options.latencyShare * (answer.latencyMs - belief.latencyMs);
-    const failureRate = belief.failureRate * (1 - options.failureShare);
+        : belief.latencyMs + options.latencyAlpha * (answer.latencyMs - belief.latencyMs);
+    const failureRate = belief.failureRate * (1 - options.failureAlpha);
     const limit = Math.min(options.maximumLimit, belief.limit + 1 / belief.limit);
     const next = { ...belief, latencyMs, answeredAtMs: answer.atMs, failureRate, failuresInRow: 0, limit };
     return belief.state === "suspect" && failureRate < recoveredFailureRate
@@ -189,9 +198,14 @@
         : next;
 };
 
-const afterFailure = (belief: Belief, atMs: number, options: BeliefOptions, mayEject: () => boolean): Belief => {
-    const failureRate = belief.failureRate + options.failureShare * (1 - belief.failureRate);
-    const failuresInRow = belief.failuresInRow + 1;
+const afterFailure = (
+    belief: UpstreamEstimate,
+    atMs: number,
+    options: EstimateOptions,
+    mayEject: () => boolean,
+): UpstreamEstimate => {
+    const failureRate = belief.failureRate + options.failureAlpha * (1 - belief.failureRate);
+    const failuresInRow = belief.consecutiveFailures + 1;
     const next = { ...belief, failureRate, failuresInRow };
     const tooMany = failuresInRow >= options.ejectAfterFailures || failureRate > options.ejectFailureRate;
     const isTrial = belief.state === "suspect";
--- a/packages/decision/src/upstream-limits.ts
+++ b/packages/decision/src/upstream-limits.ts
@@ -9,10 +9,10 @@
  */
 
 import type { Clock, UpstreamId } from "@harrierhitch/core";
-import { ByStart, type NamedStart } from "./by-start.js";
+import { ByStart, type UpstreamIncarnation } from "./incarnation-map.js";
 
 /** One word of an upstream on how much it takes. */
-export interface LimitWord {
+export interface LimitNotice {
     /** Requests a second from all instances together; `undefined` once it names no limit any more. */
     readonly perSecond: number | undefined;
     /** When this limit was first named, in milliseconds since the Unix epoch. */
@@ -24,21 +24,21 @@
 }
 
 /** A word with the start that gave it. */
-export interface ToldLimit {
+export interface UpstreamLimitNotice {
     readonly upstream: UpstreamId;
     /** When the start began, in milliseconds since the Unix epoch; 0 when it is not known. */
     readonly startedAtMs: number;
-    readonly word: LimitWord;
+    readonly notice: LimitNotice;
 }
 
 /** A limit as this instance knows it. */
-export interface KnownLimit extends LimitWord {
+export interface StoredLimit extends LimitNotice {
     /** When it was last heard of, on this instance's clock. */
-    readonly heardAtMs: number;
+    readonly receivedAtMs: number;
 }
 
 /** A limit that came, changed or went. */
-export interface LimitChange extends ToldLimit {
+export interface LimitChange extends UpstreamLimitNotice {
     /** The limit before; `undefined` where there was none. */
     readonly before: number | undefined;
 }
@@ -53,7 +53,7 @@
 }
 
 interface Recent {
-    readonly told: ToldLimit;
+    readonly told: UpstreamLimitNotice;
     readonly takenAtMs: number;
     /** Whether it changed a limit, and does not only confirm it. */
     readonly isChange: boolean;
@@ -76,7 +76,7 @@
 
 /** Keeps what upstreams said last. */
 export class UpstreamLimits {
-    private readonly limits: ByStart<KnownLimit>;
+    private readonly limits: ByStart<StoredLimit>;
     private readonly recent = new Map<UpstreamId, Recent>();
 
     /** @param options - Clock, this instance and listener. */
@@ -91,7 +91,7 @@
     }
 
     /** The limit that binds a start; `undefined` where it has named none, or names none any more. */
-    find(start: NamedStart): KnownLimit & { readonly perSecond: number; } | undefined {
+    find(start: UpstreamIncarnation): StoredLimit & { readonly perSecond: number; } | undefined {
         const known = this.limits.find(start);
         return known?.perSecond === undefined ? undefined : { ...known, perSecond: known.perSecond };
     }
@@ -105,7 +105,7 @@
      * @param sentAtMs - When the request was sent, on this instance's clock.
      * @returns Whether others should hear of it at once.
      */
-    hear(start: NamedStart, perSecond: number | undefined, sentAtMs: number): boolean {
+    record(start: UpstreamIncarnation, perSecond: number | undefined, sentAtMs: number): boolean {
         const { clock, instance } = this.options;
         const known = this.limits.find(start);
         const before = known?.perSecond;
@@ -114,7 +114,7 @@
             return known !== undefined && before !== undefined && this.confirm(start, known, saidAtUnixMs);
         }
         const isLower = perSecond !== undefined && perSecond < (before ?? Infinity);
-        const isStale = known !== undefined && sentAtMs < known.heardAtMs;
+        const isStale = known !== undefined && sentAtMs < known.receivedAtMs;
         return (isLower || !isStale)
             && this.take(start, { perSecond, sinceUnixMs: saidAtUnixMs, saidAtUnixMs, heardBy: instance });
     }
@@ -125,8 +125,8 @@
      * @param words - What they heard.
      * @returns Whether others should hear of any of it at once.
      */
-    merge(words: readonly ToldLimit[]): boolean {
-        return words.map(({ upstream, startedAtMs, word }) => {
+    merge(words: readonly UpstreamLimitNotice[]): boolean {
+        return words.map(({ upstream, startedAtMs, notice: word }) => {
             const start = { id: upstream, startedAtMs };
             const known = this.limits.find(start);
             return (known === undefined || isLater(word, known)) && this.take(start, word);
@@ -138,7 +138,7 @@
      *
      * @param isBrief - Whether to leave out what is not just new.
      */
-    toTell(isBrief: boolean): readonly ToldLimit[] {
+    recentEntries(isBrief: boolean): readonly UpstreamLimitNotice[] {
         const nowMs = this.options.clock.nowMs();
         [...this.recent].filter(([, { takenAtMs }]) => nowMs - takenAtMs >= passOnMs).forEach(([id]) => this.recent.delete(id));
         return [...this.recent.values()]
@@ -149,24 +149,24 @@
     }
 
     /** Notes that a limit still holds, and tells the others now and then. */
-    private confirm(start: NamedStart, known: KnownLimit, saidAtUnixMs: number): boolean {
+    private confirm(start: UpstreamIncarnation, known: StoredLimit, saidAtUnixMs: number): boolean {
         const { clock, instance } = this.options;
         if (saidAtUnixMs - known.saidAtUnixMs >= confirmMs) {
             return this.take(start, { ...known, saidAtUnixMs, heardBy: instance });
         }
-        this.limits.put(start, known.saidAtUnixMs, () => ({ ...known, heardAtMs: clock.nowMs() }));
+        this.limits.put(start, known.saidAtUnixMs, () => ({ ...known, receivedAtMs: clock.nowMs() }));
         return false;
     }
 
-    private take(start: NamedStart, word: LimitWord): boolean {
+    private take(start: UpstreamIncarnation, word: LimitNotice): boolean {
         const { clock, onChange } = this.options;
         const { perSecond, sinceUnixMs, saidAtUnixMs, heardBy } = word;
         const { id: upstream, startedAtMs = 0 } = start;
         const before = this.limits.find(start)?.perSecond;
         const takenAtMs = clock.nowMs();
-        const told = { upstream, startedAtMs, word: { perSecond, sinceUnixMs, saidAtUnixMs, heardBy } };
+        const told = { upstream, startedAtMs, notice: { perSecond, sinceUnixMs, saidAtUnixMs, heardBy } };
         const isChange = perSecond !== before;
-        this.limits.put(start, saidAtUnixMs, () => ({ ...told.word, heardAtMs: takenAtMs }));
+        this.limits.put(start, saidAtUnixMs, () => ({ ...told.notice, receivedAtMs: takenAtMs }));
         this.recent.set(upstream, { told, takenAtMs, isChange });
         if (isChange) {
             onChange?.({ ...told, before });
@@ -175,7 +175,7 @@
     }
 }
 
-const isLater = (word: LimitWord, known: LimitWord): boolean =>
+const isLater = (word: LimitNotice, known: LimitNotice): boolean =>
     word.saidAtUnixMs > known.saidAtUnixMs || word.saidAtUnixMs === known.saidAtUnixMs && word.heardBy > known.heardBy;
 
 const isSlight = (before: number | undefined, after: number | undefined): boolean =>
--- a/packages/decision/src/upstream-notices.ts
+++ b/packages/decision/src/upstream-notices.ts
@@ -5,7 +5,7 @@
  */
 
 import type { Clock } from "@harrierhitch/core";
-import { ByStart, type NamedStart } from "./by-start.js";
+import { ByStart, type UpstreamIncarnation } from "./incarnation-map.js";
 
 interface Notice {
     readonly isLeaving: boolean;
@@ -35,12 +35,12 @@
      * @param start - The start.
      * @param saidAtUnixMs - When the upstream said so itself, in milliseconds since the Unix epoch; 0 where others told.
      */
-    noteLeaving(start: NamedStart, saidAtUnixMs: number): void {
+    recordDraining(start: UpstreamIncarnation, saidAtUnixMs: number): void {
         this.notices.put(start, saidAtUnixMs, (before = nothing) => ({ ...before, isLeaving: true }));
     }
 
     /** Whether a start leaves. */
-    isLeaving(start: NamedStart): boolean {
+    isDraining(start: UpstreamIncarnation): boolean {
         return this.notices.find(start)?.isLeaving === true;
     }
 
@@ -51,7 +51,7 @@
      * @param saidAtUnixMs - When it said so, in milliseconds since the Unix epoch.
      * @param restMs - For how long, from now.
      */
-    noteRest(start: NamedStart, saidAtUnixMs: number, restMs: number): void {
+    recordBackoff(start: UpstreamIncarnation, saidAtUnixMs: number, restMs: number): void {
         const untilMs = this.options.clock.nowMs() + restMs;
         this.notices.put(start, saidAtUnixMs, (before = nothing) => ({
             ...before,
@@ -60,7 +60,7 @@
     }
 
     /** Milliseconds for which a start wants nothing from this instance; 0 when it takes requests. */
-    restLeftMs(start: NamedStart): number {
+    remainingBackoffMs(start: UpstreamIncarnation): number {
         return Math.max(0, (this.notices.find(start)?.restUntilMs ?? 0) - this.options.clock.nowMs());
     }
 }
--- a/packages/decision/src/service-beliefs-options.ts
+++ b/packages/decision/src/upstream-tracker-options.ts
@@ -5,23 +5,23 @@
  */
 
 import { type Clock, SeededRandom } from "@harrierhitch/core";
-import type { Belief, BeliefOptions } from "./belief.js";
 import { type ColdAdmission, unboundedColdAdmission } from "./cold-admission.js";
-import { LimitAdmission, wholeShare } from "./limit-admission.js";
-import type { KnownUpstream } from "./tracked-upstream.js";
+import { fullShare, LimitAdmission } from "./limit-admission.js";
+import type { UpstreamEntry } from "./tracked-upstream.js";
+import type { EstimateOptions, UpstreamEstimate } from "./upstream-estimate.js";
 import { UpstreamLimits } from "./upstream-limits.js";
 import { UpstreamNotices } from "./upstream-notices.js";
 
 /** Options of `ServiceBeliefs`. */
-export interface ServiceBeliefsOptions {
+export interface UpstreamTrackerOptions {
     readonly clock: Clock;
     readonly availabilityZone: string;
     /** How beliefs change; the defaults suit upstreams with a few slots. */
-    readonly belief?: Partial<BeliefOptions>;
+    readonly belief?: Partial<EstimateOptions>;
     /** Most upstreams that may be ejected at the same time, as a share. */
     readonly maximumEjectedShare?: number;
     /** Told of every change of an upstream's state. */
-    readonly onStateChange?: (upstream: KnownUpstream, before: Belief, after: Belief) => void;
+    readonly onStateChange?: (upstream: UpstreamEntry, before: UpstreamEstimate, after: UpstreamEstimate) => void;
     /** Admits requests to cold upstreams; everything is admitted without it. */
     readonly coldAdmission?: ColdAdmission;
     /** What upstreams told of themselves, shared by all services of an instance, since it outlives entries and services. */
@@ -31,23 +31,23 @@
     /** Admits requests to those; without it this instance takes all that they take. */
     readonly limitAdmission?: LimitAdmission;
     /** Told that an upstream said something that other instances should hear at once. */
-    readonly onUrgentWord?: () => void;
+    readonly onUrgentNotice?: () => void;
 }
 
 const defaultEjectedShare = 0.34;
 
 /** The options with defaults for those that are left out. */
-export const withDefaults = (options: ServiceBeliefsOptions): Required<Omit<ServiceBeliefsOptions, "belief">> => {
+export const withDefaults = (options: UpstreamTrackerOptions): Required<Omit<UpstreamTrackerOptions, "belief">> => {
     const { clock } = options;
     const limits = options.limits ?? new UpstreamLimits({ clock, instance: "" });
     return {
         maximumEjectedShare: defaultEjectedShare,
         onStateChange: () => undefined,
-        onUrgentWord: () => undefined,
+        onUrgentNotice: () => undefined,
         coldAdmission: unboundedColdAdmission,
         notices: new UpstreamNotices(options),
         limits,
-        limitAdmission: new LimitAdmission({ clock, random: new SeededRandom(1), limits, shareOf: () => wholeShare }),
+        limitAdmission: new LimitAdmission({ clock, random: new SeededRandom(1), limits, shareOf: () => fullShare }),
         ...options,
     };
 };
--- a/packages/decision/src/service-beliefs.ts
+++ b/packages/decision/src/upstream-tracker.ts
@@ -8,37 +8,37 @@
 import type { UpstreamId } from "@harrierhitch/core";
 import type { UpstreamFacts } from "@harrierhitch/policy";
 import { Admission } from "./admission.js";
-import { atTime, type Belief, type BeliefOptions, defaultBeliefOptions, update } from "./belief.js";
-import { consider } from "./consider.js";
 import type { Observation } from "./observation.js";
-import { concerns, isWord, remember } from "./remember.js";
-import type { Waiting } from "./resting.js";
-import { type ServiceBeliefsOptions, withDefaults } from "./service-beliefs-options.js";
+import { concerns, isWord, remember } from "./record-notice.js";
+import { consider } from "./select-candidates.js";
 import {
-    afterAnswer,
-    afterReport,
-    initialDynamics,
+    initialLoadModel,
     residenceMsOf,
-    type ServiceDynamics,
-    type WorkReading,
-} from "./service-dynamics.js";
-import { track } from "./track.js";
-import { type Flight, type KnownUpstream, mayEject, readingOf, toFacts, type Tracked } from "./tracked-upstream.js";
+    type ResponseSample,
+    type ServiceLoadModel,
+    updateFromReport,
+    updateFromResponse,
+} from "./service-load-model.js";
+import { track } from "./track-upstream.js";
+import { type InFlightRequest, mayEject, readingOf, toFacts, type Tracked, type UpstreamEntry } from "./tracked-upstream.js";
+import type { UpstreamWait } from "./upstream-backoff.js";
+import { atTime, defaultEstimateOptions, type EstimateOptions, update, type UpstreamEstimate } from "./upstream-estimate.js";
+import { type UpstreamTrackerOptions, withDefaults } from "./upstream-tracker-options.js";
 
 /** Keeps the beliefs about a service's upstreams and their requests in flight. */
-export class ServiceBeliefs {
-    private readonly options: Required<Omit<ServiceBeliefsOptions, "belief">>;
-    private belief: BeliefOptions;
+export class UpstreamTracker {
+    private readonly options: Required<Omit<UpstreamTrackerOptions, "belief">>;
+    private belief: EstimateOptions;
     private tracked = new Map<UpstreamId, Tracked>();
-    private dynamics: ServiceDynamics = initialDynamics;
+    private dynamics: ServiceLoadModel = initialLoadModel;
     private readonly admission: Admission;
     /** The request that finds out how a fuller upstream does; only one at a time does, since many would fill them all. */
-    private trial: Flight | undefined;
+    private trial: InFlightRequest | undefined;
 
     /** @param options - Clock, place and limits. */
-    constructor(options: ServiceBeliefsOptions) {
+    constructor(options: UpstreamTrackerOptions) {
         this.options = withDefaults(options);
-        this.belief = { ...defaultBeliefOptions, ...options.belief };
+        this.belief = { ...defaultEstimateOptions, ...options.belief };
         this.admission = new Admission(this.options);
     }
 
@@ -53,7 +53,7 @@
     configure(
         service: Pick<Service, "upstreams" | "maximumConnections" | "coldRequestsPerSecond">,
         maximumInstances: number,
-        upstreams: readonly KnownUpstream[] = service.upstreams,
+        upstreams: readonly UpstreamEntry[] = service.upstreams,
     ): void {
         const maximumLimit = Math.max(1, Math.floor(service.maximumConnections / maximumInstances));
         this.belief = { ...this.belief, maximumLimit };
@@ -65,8 +65,8 @@
     }
 
     /** Notes that a request is sent to an upstream. */
-    start(upstream: UpstreamId): Flight {
-        const flight: Flight = { upstream, startedAtMs: this.options.clock.nowMs() };
+    startRequest(upstream: UpstreamId): InFlightRequest {
+        const flight: InFlightRequest = { upstream, sentAtMs: this.options.clock.nowMs() };
         const tracked = this.tracked.get(upstream);
         if (tracked !== undefined && this.isFullerThanKnown(tracked)) {
             this.trial ??= flight;
@@ -75,12 +75,12 @@
             tracked.flights.add(flight);
             this.admission.noteSent(tracked, flight);
         }
-        this.observe(upstream, { type: "started", atMs: flight.startedAtMs });
+        this.observe(upstream, { type: "started", atMs: flight.sentAtMs });
         return flight;
     }
 
     /** Notes that a request is no longer in flight. */
-    finish(flight: Flight): void {
+    finishRequest(flight: InFlightRequest): void {
         this.tracked.get(flight.upstream)?.flights.delete(flight);
         this.trial = this.trial === flight ? undefined : this.trial;
     }
@@ -95,7 +95,7 @@
     observe(upstream: UpstreamId, observation: Observation, startedAtMs = 0): void {
         const tracked = this.tracked.get(upstream);
         if (isWord(observation) && remember(this.options, { id: upstream, startedAtMs }, observation, tracked)) {
-            this.options.onUrgentWord();
+            this.options.onUrgentNotice();
         }
         if (tracked === undefined || !concerns(this.options, tracked, observation, startedAtMs)) {
             return;
@@ -110,18 +110,18 @@
         );
         const report = readingOf(tracked.upstream, next);
         if (report !== undefined && report.atMs !== belief.reportedAtMs) {
-            this.dynamics = afterReport(this.dynamics, report, readingOf(tracked.upstream, belief));
+            this.dynamics = updateFromReport(this.dynamics, report, readingOf(tracked.upstream, belief));
         }
         this.replace(tracked, next);
     }
 
     /** Takes in how long the work of an answered request took, against what was expected when it was sent. */
-    observeWork(work: WorkReading): void {
-        this.dynamics = afterAnswer(this.dynamics, work);
+    recordResponse(work: ResponseSample): void {
+        this.dynamics = updateFromResponse(this.dynamics, work);
     }
 
     /** Whether a request may find out how a fuller upstream does. */
-    get mayTry(): boolean {
+    get mayExplore(): boolean {
         return this.trial === undefined;
     }
 
@@ -150,7 +150,7 @@
      * @param tried - Those that the request has tried.
      * @param draw - Gives random numbers of at least 0 and below 1.
      */
-    considered(tried: readonly UpstreamId[], draw: () => number): readonly UpstreamId[] {
+    selectCandidates(tried: readonly UpstreamId[], draw: () => number): readonly UpstreamId[] {
         const nowMs = this.options.clock.nowMs();
         return consider([...this.tracked.values()], {
             nowMs,
@@ -161,44 +161,44 @@
     }
 
     /** The upstreams. */
-    get upstreams(): readonly KnownUpstream[] {
+    get upstreams(): readonly UpstreamEntry[] {
         return [...this.tracked.values()].map(tracked => tracked.upstream);
     }
 
     /** One of the upstreams. */
-    find(upstream: UpstreamId): KnownUpstream | undefined {
+    find(upstream: UpstreamId): UpstreamEntry | undefined {
         return this.tracked.get(upstream)?.upstream;
     }
 
     /** Whether a start of an upstream may still get requests of this instance: it is there, stays, and does not rest. */
-    takesWork(upstream: KnownUpstream): boolean {
+    acceptsRequests(upstream: UpstreamEntry): boolean {
         return this.admission.takes(this.tracked.get(upstream.id), upstream);
     }
 
     /** Whether one more request of this instance may go to a start of an upstream now, which may be cold, or name a limit. */
-    admits(upstream: KnownUpstream): boolean {
+    admits(upstream: UpstreamEntry): boolean {
         const tracked = this.tracked.get(upstream.id);
         return this.admission.takes(tracked, upstream) && this.admission.admits(tracked);
     }
 
     /** Whether a request that was chosen for a start of an upstream, and waited for its connection, may be sent now. */
-    mayBegin(upstream: KnownUpstream, flight: Flight): boolean {
+    maySend(upstream: UpstreamEntry, flight: InFlightRequest): boolean {
         const tracked = this.tracked.get(upstream.id);
         return this.admission.takes(tracked, upstream) && this.admission.mayBegin(tracked, flight);
     }
 
     /** For how long each upstream takes nothing from this instance, with its state. */
-    get waits(): readonly Waiting[] {
+    get upstreamWaits(): readonly UpstreamWait[] {
         return [...this.tracked.values()].map(tracked => this.admission.waitOf(tracked));
     }
 
     /** This instance's even part of what all upstreams that name a limit take, in requests a second; `undefined` without any. */
-    get limitedPerSecond(): number | undefined {
+    get permittedPerSecond(): number | undefined {
         return this.admission.limitedPerSecond(this.upstreams);
     }
 
     /** When an upstream last reported its load; `undefined` if it never did. */
-    reportedAtMs(upstream: UpstreamId): number | undefined {
+    lastReportAtMs(upstream: UpstreamId): number | undefined {
         return this.tracked.get(upstream)?.belief.reportedAtMs;
     }
 
@@ -240,7 +240,7 @@
         });
     }
 
-    private replace(tracked: Tracked, belief: Belief): void {
+    private replace(tracked: Tracked, belief: UpstreamEstimate): void {
         const before = tracked.belief;
         tracked.belief = belief;
         if (before.state !== belief.state) {
--- a/packages/decision/test/cold.test.ts
+++ b/packages/decision/test/cold-admission.test.ts
@@ -1,23 +1,23 @@
 import { FakeClock, SeededRandom, upstreamId } from "@harrierhitch/core";
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
-import { ServiceBeliefs, SharedColdAdmission } from "../src/index.js";
+import { SharedColdAdmission, UpstreamTracker } from "../src/index.js";
 
 const cold = { id: upstreamId("u1"), requestsPerSecond: 2.5 };
 
 describe("a cold upstream", () => {
     test("is left alone by an instance that does not share it, or does not know the others yet", () => {
-        const admission = new SharedColdAdmission({ clock: new FakeClock(), sharersOf: () => 0 });
-        assert.equal(admission.mayTake(cold), false);
+        const admission = new SharedColdAdmission({ clock: new FakeClock(), participantsOf: () => 0 });
+        assert.equal(admission.mayAdmit(cold), false);
     });
 
     test("gets a request from a sharer in even steps", async () => {
         const clock = new FakeClock();
-        const admission = new SharedColdAdmission({ clock, sharersOf: () => 3 });
+        const admission = new SharedColdAdmission({ clock, participantsOf: () => 3 });
         const sentAtMs: number[] = [];
         for (let passedMs = 0; passedMs < 6000; passedMs += 10) {
-            if (admission.mayTake(cold)) {
-                admission.noteSent(cold);
+            if (admission.mayAdmit(cold)) {
+                admission.recordSent(cold);
                 sentAtMs.push(clock.nowMs());
             }
             await clock.advance(10);
@@ -26,8 +26,8 @@
     });
 
     test("is not bounded where the service names no bound", () => {
-        const admission = new SharedColdAdmission({ clock: new FakeClock(), sharersOf: () => 0 });
-        assert.equal(admission.mayTake({ ...cold, requestsPerSecond: 0 }), true);
+        const admission = new SharedColdAdmission({ clock: new FakeClock(), participantsOf: () => 0 });
+        assert.equal(admission.mayAdmit({ ...cold, requestsPerSecond: 0 }), true);
     });
 });
 
@@ -45,8 +45,8 @@
 const open = (mayTake = true) => {
     const clock = new FakeClock();
     let sent = 0;
-    const coldAdmission = { mayTake: () => mayTake, noteSent: () => void (sent += 1) };
-    const beliefs = new ServiceBeliefs({ clock, availabilityZone: "a", coldAdmission });
+    const coldAdmission = { mayAdmit: () => mayTake, recordSent: () => void (sent += 1) };
+    const beliefs = new UpstreamTracker({ clock, availabilityZone: "a", coldAdmission });
     const configure = (change: Readonly<Record<string, unknown>> = {}): void =>
         beliefs.configure({ upstreams: [], maximumConnections: 100, coldRequestsPerSecond: 2.5 }, 10, [upstream(change)]);
     const facts = () => beliefs.facts()[0]!;
@@ -83,19 +83,19 @@
 
     test("takes one of two requests that were decided in the same moment", () => {
         const clock = new FakeClock();
-        const coldAdmission = new SharedColdAdmission({ clock, sharersOf: () => 1 });
-        const beliefs = new ServiceBeliefs({ clock, availabilityZone: "a", coldAdmission });
+        const coldAdmission = new SharedColdAdmission({ clock, participantsOf: () => 1 });
+        const beliefs = new UpstreamTracker({ clock, availabilityZone: "a", coldAdmission });
         const listed = upstream({ coldMs: 1000 });
         beliefs.configure({ upstreams: [], maximumConnections: 100, coldRequestsPerSecond: 2.5 }, 10, [listed]);
         assert.equal(beliefs.admits(listed), true);
-        beliefs.start(listed.id);
+        beliefs.startRequest(listed.id);
         assert.equal(beliefs.admits(listed), false);
     });
 
     test("counts what is sent to it", () => {
         const { beliefs, configure, sent } = open();
         configure({ coldMs: 1000 });
-        beliefs.start(upstreamId("u1"));
+        beliefs.startRequest(upstreamId("u1"));
         assert.equal(sent(), 1);
     });
 });
@@ -114,7 +114,7 @@
     {
         name: "is believed nothing of, whatever was known of the one before",
         act: ({ beliefs, configure }) => {
-            beliefs.start(id);
+            beliefs.startRequest(id);
             beliefs.observe(id, { type: "reported", atMs: 0, inFlight: 5 }, 100);
             configure({ startedAtMs: 200 });
         },
@@ -155,10 +155,10 @@
     {
         name: "keeps its own requests when one that went to the one before ends",
         act: ({ beliefs, configure }) => {
-            const before = beliefs.start(id);
+            const before = beliefs.startRequest(id);
             configure({ startedAtMs: 200 });
-            beliefs.start(id);
-            beliefs.finish(before);
+            beliefs.startRequest(id);
+            beliefs.finishRequest(before);
         },
         state: "ready",
         inFlight: 1,
@@ -187,12 +187,12 @@
     const random = new SeededRandom(9);
     // Each view of the fleet has three sharers of its own.
     const sharers = views.flatMap(size =>
-        Array.from({ length: size }, () => new SharedColdAdmission({ clock, sharersOf: () => 3 }))
+        Array.from({ length: size }, () => new SharedColdAdmission({ clock, participantsOf: () => 3 }))
     );
     const arrivals: number[] = [];
     for (let passedMs = 0; passedMs < 20_000; passedMs += 10) {
-        sharers.filter(() => random.next() < 0.2).filter(each => each.mayTake(cold)).forEach(each => {
-            each.noteSent(cold);
+        sharers.filter(() => random.next() < 0.2).filter(each => each.mayAdmit(cold)).forEach(each => {
+            each.recordSent(cold);
             arrivals.push(clock.nowMs());
         });
         await clock.advance(10);
--- a/packages/decision/test/decide.test.ts
+++ b/packages/decision/test/decide.test.ts
@@ -102,7 +102,7 @@
             fc.integer(),
             (chooser, changes, seed) => {
                 const upstreams = changes.map((change, index) => upstream(`u${index}`, change));
-                const given = input(upstreams, { draws: drawNumbers(new SeededRandom(seed)), turn: Math.abs(seed) });
+                const given = input(upstreams, { draws: drawNumbers(new SeededRandom(seed)), sequence: Math.abs(seed) });
                 const [first, second] = [decide(policy(chooser), given), decide(policy(chooser), given)];
                 assert.deepEqual(first, second);
                 const free = upstreams.filter(each =>
--- a/packages/decision/test/decision-input.ts
+++ b/packages/decision/test/decision-input.ts
@@ -45,7 +45,7 @@
     upstreams,
     tried: [],
     draws: [0.3, 0.1, 0.8, 0.5],
-    turn: 1,
+    sequence: 1,
     ...change,
 });
 
--- a/packages/decision/test/empty-upstream.test.ts
+++ b/packages/decision/test/empty-upstream.test.ts
@@ -1,8 +1,8 @@
 import fc from "fast-check";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { crowdingOf, initialCrowding, noteCrowding } from "../src/crowding.js";
-import { bestTime } from "../src/index.js";
+import { crowdingOf, initialCrowding, noteCrowding } from "../src/contention.js";
+import { minExpectedTime } from "../src/index.js";
 import { upstream } from "./upstream.js";
 
 const learned = fc.array(
@@ -27,7 +27,7 @@
                     const crowding = crowdingOf(factors, inFlight, slots);
                     assert.equal(crowding, 1);
                     const empty = upstream("a", { expectedInFlight: inFlight, slots, bestInFlight: 1, crowding });
-                    assert.ok(bestTime([empty], []) < 1.5, "it would be waited for");
+                    assert.ok(minExpectedTime([empty], []) < 1.5, "it would be waited for");
                 });
             },
         ),
--- a/packages/decision/test/expected-time.test.ts
+++ b/packages/decision/test/expected-time.test.ts
@@ -1,22 +1,22 @@
 import type { UpstreamFacts } from "@harrierhitch/policy";
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
-import { toExpectation } from "../src/expectation.js";
-import { bestTime, choosers, isGoodNow, probeTargets, roomAtBest, roomInMs } from "../src/index.js";
-import { afterReport, initialDynamics } from "../src/service-dynamics.js";
+import { choosers, headroomAtBest, headroomInMs, isKnownGood, minExpectedTime, selectProbeTargets } from "../src/index.js";
+import { predictLoad } from "../src/load-prediction.js";
+import { initialLoadModel, updateFromReport } from "../src/service-load-model.js";
 import { upstream as idle } from "./upstream.js";
 
 /** A service of which one report is known. */
-const dynamics = afterReport(initialDynamics, { atMs: 0, inFlight: 0, slowness: 1.8, slots: 3 }, undefined);
+const dynamics = updateFromReport(initialLoadModel, { atMs: 0, inFlight: 0, slowness: 1.8, slots: 3 }, undefined);
 
 /** An upstream of which a fresh report is known, with what is expected of it in a service of which hardly anything else is. */
 const upstream = (id: string, change: Partial<UpstreamFacts> = {}): UpstreamFacts => {
     const facts = idle(id, { reportAgeMs: 1, ...change });
-    return { ...facts, ...toExpectation(facts, dynamics) };
+    return { ...facts, ...predictLoad(facts, dynamics) };
 };
 
 const choose = (candidates: readonly UpstreamFacts[]): string => {
-    const choice = choosers["expected-time"].choose({ candidates, rank: undefined, draws: [0, 0, 0, 0], turn: 1 });
+    const choice = choosers["expected-time"].select({ candidates, rank: undefined, draws: [0, 0, 0, 0], sequence: 1 });
     return candidates[choice.index]!.id;
 };
 
@@ -77,38 +77,38 @@
 
 test("a few failures do not make an idle service look busy to policies", () => {
     const failing = ["a", "b"].map(id => upstream(id, { failureRate: 0.2, sameZone: false, state: "suspect" }));
-    assert.ok(Math.abs(bestTime(failing, []) - 1) < 0.01);
+    assert.ok(Math.abs(minExpectedTime(failing, []) - 1) < 0.01);
 });
 
 test("the best time is that of upstreams that may be chosen and were not tried", () => {
     const upstreams = [upstream("a"), upstream("b", { state: "draining" }), upstream("c", { slowness: 3 })];
-    assert.ok(bestTime(upstreams, ["a"]) > 2.5);
-    assert.equal(bestTime(upstreams, ["a", "c"]), -1);
+    assert.ok(minExpectedTime(upstreams, ["a"]) > 2.5);
+    assert.equal(minExpectedTime(upstreams, ["a", "c"]), -1);
 });
 
 test("what is stale, busy or slow is not good enough to stop asking", () => {
     const changes: readonly Partial<UpstreamFacts>[] = [{}, { reportAgeMs: 60 }, { reportedInFlight: 3 }, { slowness: 2 }, {
         reportAgeMs: -1,
     }];
-    assert.deepEqual(changes.map(change => isGoodNow(upstream("a", change))), [true, false, false, false, false]);
+    assert.deepEqual(changes.map(change => isKnownGood(upstream("a", change))), [true, false, false, false, false]);
 });
 
 test("the likeliest are asked, never those that may not be chosen", () => {
     const upstreams = [upstream("a", { slowness: 5 }), upstream("b"), upstream("c", { state: "ejected" }), upstream("d")];
-    assert.deepEqual(probeTargets({ upstreams, tried: ["d"] }, 2, () => 0), ["b", "a"]);
+    assert.deepEqual(selectProbeTargets({ upstreams, tried: ["d"] }, 2, () => 0), ["b", "a"]);
 });
 
 test("room is that of the best upstream, and of a tried one only where no other is left", () => {
     const upstreams = [upstream("a", { reportedInFlight: 2 }), upstream("b", { state: "draining" }), upstream("c")];
-    assert.ok(Math.abs(roomAtBest(upstreams, []).room - 2) < 0.01);
-    assert.ok(Math.abs(roomAtBest(upstreams, ["c"]).room) < 0.01);
-    assert.ok(roomAtBest(upstreams, ["a", "c"]).room > 1.9);
-    assert.deepEqual(roomAtBest([upstream("b", { state: "draining" })], []), { room: 0, freeShare: 0 });
+    assert.ok(Math.abs(headroomAtBest(upstreams, []).room - 2) < 0.01);
+    assert.ok(Math.abs(headroomAtBest(upstreams, ["c"]).room) < 0.01);
+    assert.ok(headroomAtBest(upstreams, ["a", "c"]).room > 1.9);
+    assert.deepEqual(headroomAtBest([upstream("b", { state: "draining" })], []), { room: 0, freeShare: 0 });
 });
 
 test("the wait for room lasts until enough of what is in flight at one upstream has ended", () => {
     const full = [upstream("a", { reportedInFlight: 4 }), upstream("b", { reportedInFlight: 8 })];
-    assert.ok(Math.abs(roomInMs(full, [], 200) - 150) < 2, `${roomInMs(full, [], 200)}`);
-    assert.equal(roomInMs([upstream("a")], [], 200), 0);
-    assert.equal(roomInMs([], [], 200), -1);
+    assert.ok(Math.abs(headroomInMs(full, [], 200) - 150) < 2, `${headroomInMs(full, [], 200)}`);
+    assert.equal(headroomInMs([upstream("a")], [], 200), 0);
+    assert.equal(headroomInMs([], [], 200), -1);
 });
--- a/packages/decision/test/limit-admission.test.ts
+++ b/packages/decision/test/limit-admission.test.ts
@@ -13,36 +13,36 @@
 };
 
 const sharer = (members: number) => (wanted: number): LimitShare => ({
-    isSharer: true,
-    sharers: Math.min(wanted, members),
+    isParticipant: true,
+    participants: Math.min(wanted, members),
     members,
 });
 
 describe("an instance that shares an upstream's limit", () => {
     test("has one turn in each period, early or late in it, and saves up none", async () => {
         const { clock, limits, admission } = open(sharer(13), { next: () => 0 });
-        limits.hear(start, 2, 0);
+        limits.record(start, 2, 0);
         const waits = async (forMs: number): Promise<number | undefined> => {
             await clock.advance(forMs);
             return admission.paceOf(start)?.waitMs;
         };
         assert.equal(await waits(0), 0);
         assert.equal(await waits(9900), 0);
-        admission.noteSent(start);
+        admission.recordSent(start);
         assert.equal(Math.round(await waits(0) ?? 0), 100);
         assert.equal(await waits(101), 0);
-        admission.noteSent(start);
+        admission.recordSent(start);
         assert.equal(Math.round(await waits(0) ?? 0), 2499);
     });
 
     test("saves up turns for a moment where few share a large limit", async () => {
         const { clock, limits, admission } = open(sharer(3), { next: () => 0 });
-        limits.hear(start, 60, 0);
+        limits.record(start, 60, 0);
         assert.ok((admission.paceOf(start)?.waitMs ?? 0) > 0);
         await clock.advance(10_000);
         let sent = 0;
         for (; admission.paceOf(start)?.waitMs === 0; sent += 1) {
-            admission.noteSent(start);
+            admission.recordSent(start);
         }
         assert.equal(sent, 10);
     });
@@ -52,9 +52,9 @@
         let sent = 0;
         for (let passedMs = 0; passedMs < 20_000; passedMs += 20) {
             await clock.advance(20);
-            limits.hear(start, 2 + passedMs / 20 % 5 * 0.01, clock.nowMs());
+            limits.record(start, 2 + passedMs / 20 % 5 * 0.01, clock.nowMs());
             if (admission.paceOf(start)?.waitMs === 0) {
-                admission.noteSent(start);
+                admission.recordSent(start);
                 sent += 1;
             }
         }
@@ -63,9 +63,9 @@
 
     test("tells how long it has to wait, and how fast it may send", () => {
         const { limits, admission } = open(sharer(13), { next: () => 0.25 });
-        limits.hear(start, 3.6, 0);
+        limits.record(start, 3.6, 0);
         const pace = admission.paceOf(start);
-        assert.deepEqual([pace?.perSecond, pace?.sharers, Math.round(pace?.gapMs ?? 0), Math.round(pace?.waitMs ?? 0)], [
+        assert.deepEqual([pace?.perSecond, pace?.participants, Math.round(pace?.gapMs ?? 0), Math.round(pace?.waitMs ?? 0)], [
             3.6,
             8,
             2222,
@@ -75,30 +75,30 @@
 
     test("is bound by nothing once the limit is gone", async () => {
         const { clock, limits, admission } = open(sharer(13));
-        limits.hear(start, 0, 0);
+        limits.record(start, 0, 0);
         assert.ok((admission.paceOf(start)?.waitMs ?? 0) > 0);
         await clock.advance(1);
-        limits.hear(start, undefined, clock.nowMs());
+        limits.record(start, undefined, clock.nowMs());
         assert.equal(admission.paceOf(start), undefined);
-        assert.equal(admission.noteSent(start), false);
+        assert.equal(admission.recordSent(start), false);
     });
 });
 
 test("an instance that does not share one tries rarely, after it has heard nothing for half a minute", async () => {
-    const { clock, limits, admission } = open(wanted => ({ isSharer: false, sharers: wanted, members: 13 }));
-    limits.hear(start, 4, 0);
+    const { clock, limits, admission } = open(wanted => ({ isParticipant: false, participants: wanted, members: 13 }));
+    limits.record(start, 4, 0);
     await clock.advance(29_999);
     assert.ok((admission.paceOf(start)?.waitMs ?? 0) > 0);
     limits.merge([{
         upstream: start.id,
         startedAtMs: 100,
-        word: { perSecond: 4, sinceUnixMs: 0, saidAtUnixMs: 1e9, heardBy: "b" },
+        notice: { perSecond: 4, sinceUnixMs: 0, saidAtUnixMs: 1e9, heardBy: "b" },
     }]);
     await clock.advance(29_999);
     assert.ok((admission.paceOf(start)?.waitMs ?? 0) > 0);
     await clock.advance(40_000);
     assert.equal(admission.paceOf(start)?.waitMs, 0);
-    admission.noteSent(start);
+    admission.recordSent(start);
     assert.ok((admission.paceOf(start)?.waitMs ?? 0) > 30_000);
 });
 
@@ -109,7 +109,7 @@
                 const random = new SeededRandom(members);
                 const clock = new FakeClock();
                 const limits = new UpstreamLimits({ clock, instance: "a" });
-                limits.hear(start, perSecond, 0);
+                limits.record(start, perSecond, 0);
                 const most = Math.max(2, Math.floor(2 * Math.max(0.1, perSecond)) + 1);
                 const admissions = Array.from({ length: Math.min(most, members) }, () =>
                     new LimitAdmission({ clock, random, limits, shareOf: (_, wanted) => sharer(members)(wanted) }));
@@ -121,7 +121,7 @@
                 for (let passedMs = 0; passedMs < 4000; passedMs += 50) {
                     admissions.forEach(admission => {
                         while (admission.paceOf(start)?.waitMs === 0) {
-                            admission.noteSent(start);
+                            admission.recordSent(start);
                             sent += 1;
                         }
                     });
--- a/packages/decision/test/shortlist.test.ts
+++ b/packages/decision/test/sample-candidates.test.ts
@@ -1,8 +1,8 @@
 import { FakeClock, SeededRandom, upstreamId } from "@harrierhitch/core";
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
-import { ServiceBeliefs } from "../src/service-beliefs.js";
-import { maximumShortlist, shortlist, type ShortlistCandidate } from "../src/shortlist.js";
+import { maximumShortlist, shortlist, type ShortlistCandidate } from "../src/sample-candidates.js";
+import { UpstreamTracker } from "../src/upstream-tracker.js";
 
 const zones = 6;
 
@@ -43,7 +43,7 @@
 describe("of hundreds of upstreams a decision looks at", () => {
     const start = () => {
         const clock = new FakeClock();
-        const beliefs = new ServiceBeliefs({ clock, availabilityZone: "zone-0" });
+        const beliefs = new UpstreamTracker({ clock, availabilityZone: "zone-0" });
         const upstreams = Array.from({ length: 100 }, (_, index) => ({
             id: upstreamId(`u${index}`),
             address: "127.0.0.1",
@@ -60,7 +60,7 @@
         const leaving = ids.slice(0, 60);
         const tried = ids.slice(60, 70);
         leaving.forEach(id => beliefs.observe(id, { type: "draining", atMs: 1 }));
-        const considered = beliefs.considered(tried, draws());
+        const considered = beliefs.selectCandidates(tried, draws());
         assert.equal(considered.length, maximumShortlist);
         assert.ok(considered.every(id => !leaving.includes(id) && !tried.includes(id)));
     });
@@ -68,6 +68,6 @@
     test("all where hardly any may be chosen, so that a refusal tells why", () => {
         const { beliefs, ids } = start();
         ids.slice(0, 95).forEach(id => beliefs.observe(id, { type: "draining", atMs: 1 }));
-        assert.deepEqual(beliefs.considered([], draws()), ids);
+        assert.deepEqual(beliefs.selectCandidates([], draws()), ids);
     });
 });
--- a/packages/decision/test/service-dynamics.test.ts
+++ b/packages/decision/test/service-load-model.test.ts
@@ -1,21 +1,21 @@
 import { SeededRandom } from "@harrierhitch/core";
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
-import { type KnownLoad, toExpectation } from "../src/expectation.js";
+import { type LoadSample, predictLoad } from "../src/load-prediction.js";
 import {
-    afterAnswer,
-    afterReport,
-    initialDynamics,
+    initialLoadModel,
     type LoadReading,
-    type ServiceDynamics,
+    type ServiceLoadModel,
     slownessLastsMs,
-} from "../src/service-dynamics.js";
+    updateFromReport,
+    updateFromResponse,
+} from "../src/service-load-model.js";
 
 const slots = 6;
 
 const report = (change: Partial<LoadReading>): LoadReading => ({ atMs: 0, inFlight: 1, slowness: 1, slots, ...change });
 
-const known = (change: Partial<KnownLoad>): KnownLoad => ({
+const known = (change: Partial<LoadSample>): LoadSample => ({
     inFlight: 0,
     reportedInFlight: 0,
     reportAgeMs: 1,
@@ -25,40 +25,40 @@
     ...change,
 });
 
-const expectedCrowding = (dynamics: ServiceDynamics, inFlight: number): number =>
-    toExpectation(known({ reportedInFlight: inFlight }), dynamics).crowding;
+const expectedCrowding = (dynamics: ServiceLoadModel, inFlight: number): number =>
+    predictLoad(known({ reportedInFlight: inFlight }), dynamics).crowding;
 
 const answers = (
     count: number,
-    answer: { readonly latencyMs: number; readonly fill: number; },
-    from: ServiceDynamics = initialDynamics,
-) => Array.from({ length: count }).reduce<ServiceDynamics>(
-    dynamics => afterAnswer(dynamics, { atMs: 0, usualMs: 500, slowness: 1, reportAgeMs: 2, ...answer }),
+    answer: { readonly latencyMs: number; readonly utilization: number; },
+    from: ServiceLoadModel = initialLoadModel,
+) => Array.from({ length: count }).reduce<ServiceLoadModel>(
+    dynamics => updateFromResponse(dynamics, { atMs: 0, baselineMs: 500, expectedSlowdown: 1, reportAgeMs: 2, ...answer }),
     from,
 );
 
 describe("the load of an upstream", () => {
     test("an upstream that was full a moment ago is full while its work takes longer than that", () => {
-        const dynamics = answers(20, { latencyMs: 600, fill: 0.5 });
-        assert.ok(toExpectation(known({ reportedInFlight: 9, reportAgeMs: 130 }), dynamics).expectedInFlight > slots);
+        const dynamics = answers(20, { latencyMs: 600, utilization: 0.5 });
+        assert.ok(predictLoad(known({ reportedInFlight: 9, reportAgeMs: 130 }), dynamics).expectedInFlight > slots);
     });
 
     test("it is forgotten as soon as its work is short", () => {
-        const dynamics = answers(20, { latencyMs: 10, fill: 0.5 });
-        assert.ok(toExpectation(known({ reportedInFlight: 9, reportAgeMs: 130 }), dynamics).expectedInFlight < 1);
+        const dynamics = answers(20, { latencyMs: 10, utilization: 0.5 });
+        assert.ok(predictLoad(known({ reportedInFlight: 9, reportAgeMs: 130 }), dynamics).expectedInFlight < 1);
     });
 
     test("one of which nothing is known is as busy as the others of its service", () => {
         const reports = Array.from({ length: 200 }, (_, index) => report({ atMs: index, inFlight: 9 }));
-        const dynamics = reports.reduce<ServiceDynamics>(
-            (before, reading) => afterReport(before, reading, undefined),
-            initialDynamics,
+        const dynamics = reports.reduce<ServiceLoadModel>(
+            (before, reading) => updateFromReport(before, reading, undefined),
+            initialLoadModel,
         );
-        assert.ok(toExpectation(known({ reportedInFlight: -1, reportAgeMs: -1 }), dynamics).expectedInFlight > 8.9);
+        assert.ok(predictLoad(known({ reportedInFlight: -1, reportAgeMs: -1 }), dynamics).expectedInFlight > 8.9);
     });
 
     test("what this instance itself has in flight counts, however old the report", () => {
-        assert.equal(toExpectation(known({ inFlight: 5, reportAgeMs: 60_000 }), initialDynamics).expectedInFlight, 5);
+        assert.equal(predictLoad(known({ inFlight: 5, reportAgeMs: 60_000 }), initialLoadModel).expectedInFlight, 5);
     });
 });
 
@@ -67,12 +67,12 @@
     const keptMs = (drawnEveryMs: number): number => {
         const random = new SeededRandom(7);
         const last: (LoadReading | undefined)[] = Array.from({ length: 10 }, () => undefined);
-        let dynamics = initialDynamics;
+        let dynamics = initialLoadModel;
         for (let atMs = 0; atMs < 20_000; atMs += 20) {
             last.forEach((before, upstream) => {
                 const isDrawn = before === undefined || (atMs + 20 * upstream) % drawnEveryMs === 0;
                 const reading = report({ atMs, slowness: isDrawn ? random.next() < 0.3 ? 5 : 1 : before.slowness });
-                dynamics = afterReport(dynamics, reading, before);
+                dynamics = updateFromReport(dynamics, reading, before);
                 last[upstream] = reading;
             });
         }
@@ -86,56 +86,56 @@
 });
 
 describe("the usual slowness", () => {
-    const after = (slownesses: readonly number[]): ServiceDynamics =>
+    const after = (slownesses: readonly number[]): ServiceLoadModel =>
         slownesses.reduce(
-            (before, slowness, atMs) => afterReport(before, report({ atMs, slowness }), undefined),
-            initialDynamics,
+            (before, slowness, atMs) => updateFromReport(before, report({ atMs, slowness }), undefined),
+            initialLoadModel,
         );
 
     test("follows a service whose upstreams have all become slow: none of them is slow any longer against the others", () => {
         const dynamics = after(Array.from({ length: 400 }, () => 5));
-        assert.ok(Math.abs(toExpectation(known({ slowness: 5 }), dynamics).expectedSlowness - 1) < 0.1);
+        assert.ok(Math.abs(predictLoad(known({ slowness: 5 }), dynamics).expectedSlowness - 1) < 0.1);
     });
 
     test("stays that of the fast ones while some are slow", () => {
         const dynamics = after(Array.from({ length: 400 }, (_, index) => index % 3 === 0 ? 5 : 1));
-        assert.ok(toExpectation(known({ slowness: 5 }), dynamics).expectedSlowness > 4.5);
-        assert.ok(Math.abs(toExpectation(known({ slowness: 1 }), dynamics).expectedSlowness - 1) < 0.1);
+        assert.ok(predictLoad(known({ slowness: 5 }), dynamics).expectedSlowness > 4.5);
+        assert.ok(Math.abs(predictLoad(known({ slowness: 1 }), dynamics).expectedSlowness - 1) < 0.1);
     });
 });
 
 describe("crowding", () => {
     test("upstreams that do not slow down when they are full are learned to be so", () => {
-        const dynamics = answers(60, { latencyMs: 500, fill: 1 }, answers(20, { latencyMs: 500, fill: 0.5 }));
-        assert.ok(expectedCrowding(initialDynamics, 5) > 1.6);
+        const dynamics = answers(60, { latencyMs: 500, utilization: 1 }, answers(20, { latencyMs: 500, utilization: 0.5 }));
+        assert.ok(expectedCrowding(initialLoadModel, 5) > 1.6);
         assert.ok(expectedCrowding(dynamics, 5) < 1.15);
     });
 
     test("those that slow down from half of their slots on too", () => {
-        const dynamics = answers(60, { latencyMs: 1000, fill: 0.7 }, answers(60, { latencyMs: 500, fill: 0.25 }));
+        const dynamics = answers(60, { latencyMs: 1000, utilization: 0.7 }, answers(60, { latencyMs: 500, utilization: 0.25 }));
         assert.ok(expectedCrowding(dynamics, 3) > 1.8);
         assert.ok(expectedCrowding(dynamics, 0) < 1.05);
     });
 
     test("an idle upstream of a single slot is not crowded, whatever its one request fills", () => {
-        assert.equal(toExpectation(known({ slots: 1 }), initialDynamics).crowding, 1);
-        assert.equal(toExpectation(known({ slots: 1 }), answers(30, { latencyMs: 900, fill: 1 })).crowding, 1);
+        assert.equal(predictLoad(known({ slots: 1 }), initialLoadModel).crowding, 1);
+        assert.equal(predictLoad(known({ slots: 1 }), answers(30, { latencyMs: 900, utilization: 1 })).crowding, 1);
     });
 
     test("one fuller step is never better than an emptier one, by the scatter of few answers", () => {
-        const dynamics = answers(60, { latencyMs: 400, fill: 1 }, answers(60, { latencyMs: 900, fill: 0.5 }));
+        const dynamics = answers(60, { latencyMs: 400, utilization: 1 }, answers(60, { latencyMs: 900, utilization: 0.5 }));
         assert.ok(expectedCrowding(dynamics, 5) >= expectedCrowding(dynamics, 2));
     });
 
     test("an answer to a choice by an old report teaches nothing", () => {
-        const dynamics = afterAnswer(initialDynamics, {
+        const dynamics = updateFromResponse(initialLoadModel, {
             atMs: 0,
             latencyMs: 5000,
-            usualMs: 500,
-            slowness: 1,
-            fill: 0.5,
+            baselineMs: 500,
+            expectedSlowdown: 1,
+            utilization: 0.5,
             reportAgeMs: 400,
         });
-        assert.deepEqual(dynamics.crowding, initialDynamics.crowding);
+        assert.deepEqual(dynamics.crowding, initialLoadModel.crowding);
     });
 });
--- a/packages/decision/test/resting.test.ts
+++ b/packages/decision/test/upstream-backoff.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
-import { decide, waitForAllMs } from "../src/index.js";
+import { decide, earliestAvailableMs } from "../src/index.js";
 import { input, policy } from "./decision-input.js";
 import { upstream } from "./upstream.js";
 
@@ -23,7 +23,7 @@
         },
     ] as const;
     cases.forEach(({ name, upstreams, restMs }) => {
-        test(name, () => assert.equal(waitForAllMs(upstreams), restMs));
+        test(name, () => assert.equal(earliestAvailableMs(upstreams), restMs));
     });
 });
 
--- a/packages/decision/test/upstream-limits.test.ts
+++ b/packages/decision/test/upstream-limits.test.ts
@@ -1,7 +1,7 @@
 import { FakeClock, SeededRandom, upstreamId } from "@harrierhitch/core";
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
-import { type LimitChange, type ToldLimit, UpstreamLimits } from "../src/index.js";
+import { type LimitChange, type UpstreamLimitNotice, UpstreamLimits } from "../src/index.js";
 
 const id = upstreamId("u1");
 const start = { id, startedAtMs: 100 };
@@ -15,15 +15,15 @@
 describe("what an upstream says of how much it takes", () => {
     test("holds until it says something else, and ends by an answer without it", async () => {
         const { clock, limits, changes, perSecond } = open();
-        assert.equal(limits.hear(start, undefined, 0), false);
-        assert.equal(limits.hear(start, 3.6, 0), true);
+        assert.equal(limits.record(start, undefined, 0), false);
+        assert.equal(limits.record(start, 3.6, 0), true);
         await clock.advance(600_000);
         assert.equal(perSecond(), 3.6);
-        limits.hear(start, 8, clock.nowMs());
+        limits.record(start, 8, clock.nowMs());
         await clock.advance(1);
-        assert.equal(limits.hear(start, undefined, clock.nowMs()), true);
+        assert.equal(limits.record(start, undefined, clock.nowMs()), true);
         assert.equal(perSecond(), undefined);
-        assert.deepEqual(changes.map(({ before, word }) => [before, word.perSecond]), [[undefined, 3.6], [3.6, 8], [
+        assert.deepEqual(changes.map(({ before, notice: word }) => [before, word.perSecond]), [[undefined, 3.6], [3.6, 8], [
             8,
             undefined,
         ]]);
@@ -32,49 +32,49 @@
     test("is neither raised nor ended by an answer to a request from before it was heard", async () => {
         const { clock, limits, perSecond } = open();
         await clock.advance(100);
-        limits.hear(start, 4, 50);
-        limits.hear(start, undefined, 60);
-        limits.hear(start, 9, 60);
+        limits.record(start, 4, 50);
+        limits.record(start, undefined, 60);
+        limits.record(start, 9, 60);
         assert.equal(perSecond(), 4);
-        limits.hear(start, 2, 60);
+        limits.record(start, 2, 60);
         assert.equal(perSecond(), 2);
     });
 
     test("rises although every answer comes while others are awaited", async () => {
         const { clock, limits, perSecond } = open();
-        limits.hear(start, 100, 0);
+        limits.record(start, 100, 0);
         for (let passedMs = 10; passedMs <= 200; passedMs += 10) {
             await clock.advance(10);
-            limits.hear(start, passedMs < 100 ? 100 : 200, clock.nowMs() - 60);
+            limits.record(start, passedMs < 100 ? 100 : 200, clock.nowMs() - 60);
         }
         assert.equal(perSecond(), 200);
     });
 
     test("does not bind another start of it, and binds the same one whose entry lapsed", () => {
         const { limits } = open();
-        limits.hear(start, 1, 0);
+        limits.record(start, 1, 0);
         assert.equal(limits.find({ id, startedAtMs: 60_000 }), undefined);
         assert.equal(limits.find({ id, startedAtMs: 100 })?.perSecond, 1);
     });
 
     test("is told to others as long as it takes to reach all, and confirmed now and then", async () => {
         const { clock, limits } = open();
-        limits.hear(start, 1, 0);
-        assert.deepEqual([limits.toTell(true).length, limits.toTell(false).length], [1, 1]);
+        limits.record(start, 1, 0);
+        assert.deepEqual([limits.recentEntries(true).length, limits.recentEntries(false).length], [1, 1]);
         await clock.advance(5000);
-        limits.hear(start, 1, clock.nowMs());
-        assert.deepEqual([limits.toTell(true).length, limits.toTell(false).length], [0, 1]);
+        limits.record(start, 1, clock.nowMs());
+        assert.deepEqual([limits.recentEntries(true).length, limits.recentEntries(false).length], [0, 1]);
         await clock.advance(6000);
-        assert.equal(limits.toTell(false).length, 0);
-        assert.equal(limits.hear(start, 1, clock.nowMs()), false);
-        assert.deepEqual([limits.toTell(true).length, limits.toTell(false).length], [0, 1]);
+        assert.equal(limits.recentEntries(false).length, 0);
+        assert.equal(limits.record(start, 1, clock.nowMs()), false);
+        assert.deepEqual([limits.recentEntries(true).length, limits.recentEntries(false).length], [0, 1]);
     });
 
     test("is urgent news unless it hardly changes", () => {
         const { limits } = open();
-        assert.equal(limits.hear(start, 10, 0), true);
-        assert.equal(limits.hear(start, 9.5, 0), false);
-        assert.equal(limits.hear(start, 4, 0), true);
+        assert.equal(limits.record(start, 10, 0), true);
+        assert.equal(limits.record(start, 9.5, 0), false);
+        assert.equal(limits.record(start, 4, 0), true);
     });
 });
 
@@ -83,13 +83,13 @@
         test(`end in the same state in any order, seed ${seed}`, async () => {
             const random = new SeededRandom(seed);
             const clock = new FakeClock();
-            const words: ToldLimit[] = [];
+            const words: UpstreamLimitNotice[] = [];
             for (const name of ["a", "b", "c"]) {
                 const { limits } = open(clock, name);
                 for (let count = 0; count < 5; count += 1) {
                     await clock.advance(random.next() < 0.3 ? 0 : 10);
-                    limits.hear(start, random.next() < 0.3 ? undefined : Math.ceil(5 * random.next()), clock.nowMs());
-                    words.push(...limits.toTell(false));
+                    limits.record(start, random.next() < 0.3 ? undefined : Math.ceil(5 * random.next()), clock.nowMs());
+                    words.push(...limits.recentEntries(false));
                 }
             }
             const orders = Array.from(
@@ -111,11 +111,11 @@
         const late = open(new FakeClock(), "late");
         const ahead = open(new FakeClock(), "ahead");
         await ahead.clock.advance(1_000_000);
-        ahead.limits.hear(start, 5, ahead.clock.nowMs());
-        late.limits.merge(ahead.limits.toTell(false));
+        ahead.limits.record(start, 5, ahead.clock.nowMs());
+        late.limits.merge(ahead.limits.recentEntries(false));
         await late.clock.advance(100);
-        late.limits.hear(start, undefined, late.clock.nowMs());
-        assert.equal(ahead.limits.merge(late.limits.toTell(false)), true);
+        late.limits.record(start, undefined, late.clock.nowMs());
+        assert.equal(ahead.limits.merge(late.limits.recentEntries(false)), true);
         assert.equal(ahead.perSecond(), undefined);
     });
 });
--- a/packages/decision/test/upstream-notices.test.ts
+++ b/packages/decision/test/upstream-notices.test.ts
@@ -47,9 +47,9 @@
     cases.forEach(({ name, noted, leaves }) => {
         test(name, () => {
             const notices = new UpstreamNotices({ clock: new FakeClock() });
-            noted.forEach(([startedAtMs, saidAtUnixMs]) => notices.noteLeaving(start(startedAtMs), saidAtUnixMs));
+            noted.forEach(([startedAtMs, saidAtUnixMs]) => notices.recordDraining(start(startedAtMs), saidAtUnixMs));
             Object.entries(leaves).forEach(([startedAtMs, isLeaving]) =>
-                assert.equal(notices.isLeaving(start(Number(startedAtMs))), isLeaving, startedAtMs)
+                assert.equal(notices.isDraining(start(Number(startedAtMs))), isLeaving, startedAtMs)
             );
         });
     });
@@ -57,29 +57,29 @@
     test("a start without a name at its address, for a minute", async () => {
         const clock = new FakeClock();
         const notices = new UpstreamNotices({ clock });
-        notices.noteLeaving(here, 0);
-        assert.equal(notices.isLeaving({ ...here, port: 81 }), false);
+        notices.recordDraining(here, 0);
+        assert.equal(notices.isDraining({ ...here, port: 81 }), false);
         await clock.advance(59_999);
-        assert.equal(notices.isLeaving(here), true);
+        assert.equal(notices.isDraining(here), true);
         await clock.advance(1);
-        assert.equal(notices.isLeaving(here), false);
+        assert.equal(notices.isDraining(here), false);
     });
 
     test("a start with a name also when others tell of one without a name later", async () => {
         const clock = new FakeClock();
         const notices = new UpstreamNotices({ clock });
-        notices.noteLeaving(start(100_000), 200_000);
+        notices.recordDraining(start(100_000), 200_000);
         await clock.advance(120_000);
-        notices.noteLeaving({ id }, 0);
-        assert.equal(notices.isLeaving(start(100_000)), true);
+        notices.recordDraining({ id }, 0);
+        assert.equal(notices.isDraining(start(100_000)), true);
     });
 
     test("a start with a name for good", async () => {
         const clock = new FakeClock();
         const notices = new UpstreamNotices({ clock });
-        notices.noteLeaving(start(1), 0);
+        notices.recordDraining(start(1), 0);
         await clock.advance(86_400_000);
-        assert.equal(notices.isLeaving(start(1)), true);
+        assert.equal(notices.isDraining(start(1)), true);
     });
 
     test("the same starts in whatever order and however often it is told", () => {
@@ -89,8 +89,8 @@
         });
         const leavesAfter = (told: readonly (readonly [number, number])[]): readonly boolean[] => {
             const notices = new UpstreamNotices({ clock: new FakeClock() });
-            told.forEach(([startedAtMs, saidAtUnixMs]) => notices.noteLeaving(start(startedAtMs), saidAtUnixMs));
-            return starts.map(startedAtMs => notices.isLeaving(start(startedAtMs)));
+            told.forEach(([startedAtMs, saidAtUnixMs]) => notices.recordDraining(start(startedAtMs), saidAtUnixMs));
+            return starts.map(startedAtMs => notices.isDraining(start(startedAtMs)));
         };
         const shuffled = <Item>(items: readonly Item[], seed: number): readonly Item[] => {
             const random = new SeededRandom(seed);
@@ -108,67 +108,67 @@
 test("notices are bounded: the oldest are forgotten first", () => {
     const notices = new UpstreamNotices({ clock: new FakeClock() });
     const nth = (number: number) => ({ id: upstreamId(`u${number}`), startedAtMs: 1 });
-    Array.from({ length: 5000 }, (_, number) => notices.noteLeaving(nth(number), 0));
-    assert.deepEqual([notices.isLeaving(nth(0)), notices.isLeaving(nth(4999))], [false, true]);
+    Array.from({ length: 5000 }, (_, number) => notices.recordDraining(nth(number), 0));
+    assert.deepEqual([notices.isDraining(nth(0)), notices.isDraining(nth(4999))], [false, true]);
 });
 
 describe("a rest", () => {
     const resting = (restMs = 3000) => {
         const clock = new FakeClock();
         const notices = new UpstreamNotices({ clock });
-        notices.noteRest(start(100_000), 200_000, restMs);
+        notices.recordBackoff(start(100_000), 200_000, restMs);
         return { clock, notices };
     };
 
     test("ends by itself", async () => {
         const { clock, notices } = resting();
-        assert.equal(notices.restLeftMs(start(100_000)), 3000);
+        assert.equal(notices.remainingBackoffMs(start(100_000)), 3000);
         await clock.advance(2999);
-        assert.equal(notices.restLeftMs(start(100_000)), 1);
+        assert.equal(notices.remainingBackoffMs(start(100_000)), 1);
         await clock.advance(1);
-        assert.equal(notices.restLeftMs(start(100_000)), 0);
+        assert.equal(notices.remainingBackoffMs(start(100_000)), 0);
     });
 
     test("is not cut short by a shorter one that is asked for later", async () => {
         const { clock, notices } = resting();
         await clock.advance(1000);
-        notices.noteRest(start(100_000), 201_000, 500);
-        assert.equal(notices.restLeftMs(start(100_000)), 2000);
+        notices.recordBackoff(start(100_000), 201_000, 500);
+        assert.equal(notices.remainingBackoffMs(start(100_000)), 2000);
     });
 
     test("binds no start that began after it was asked for, and no departure that is noted of one", () => {
         const { notices } = resting();
-        assert.equal(notices.restLeftMs(start(300_000)), 0);
-        notices.noteLeaving(start(300_000), 0);
-        assert.equal(notices.restLeftMs(start(300_000)), 0);
+        assert.equal(notices.remainingBackoffMs(start(300_000)), 0);
+        notices.recordDraining(start(300_000), 0);
+        assert.equal(notices.remainingBackoffMs(start(300_000)), 0);
     });
 
     test("of an earlier start does not bind a later one when its answer comes late", () => {
         const notices = new UpstreamNotices({ clock: new FakeClock() });
-        notices.noteLeaving(start(300_000), 0);
-        notices.noteRest(start(100_000), 200_000, 3000);
-        assert.equal(notices.restLeftMs(start(300_000)), 0);
+        notices.recordDraining(start(300_000), 0);
+        notices.recordBackoff(start(100_000), 200_000, 3000);
+        assert.equal(notices.remainingBackoffMs(start(300_000)), 0);
     });
 
     test("of a start without a name lasts as long as it was asked for", async () => {
         const clock = new FakeClock();
         const notices = new UpstreamNotices({ clock });
-        notices.noteRest(here, 0, 600_000);
+        notices.recordBackoff(here, 0, 600_000);
         await clock.advance(599_000);
-        assert.equal(notices.restLeftMs(here), 1000);
+        assert.equal(notices.remainingBackoffMs(here), 1000);
         await clock.advance(1000);
-        assert.equal(notices.restLeftMs(here), 0);
+        assert.equal(notices.remainingBackoffMs(here), 0);
     });
 
     test("binds a start that was listed only after it had asked", () => {
         const { notices } = resting();
-        assert.equal(notices.restLeftMs(start(150_000)), 3000);
+        assert.equal(notices.remainingBackoffMs(start(150_000)), 3000);
     });
 
     test("is kept when the same start is said to leave, and the other way round", () => {
         const { notices } = resting();
-        notices.noteLeaving(start(100_000), 201_000);
-        notices.noteRest(start(100_000), 202_000, 10);
-        assert.deepEqual([notices.restLeftMs(start(100_000)), notices.isLeaving(start(100_000))], [3000, true]);
+        notices.recordDraining(start(100_000), 201_000);
+        notices.recordBackoff(start(100_000), 202_000, 10);
+        assert.deepEqual([notices.remainingBackoffMs(start(100_000)), notices.isDraining(start(100_000))], [3000, true]);
     });
 });
--- a/packages/decision/test/beliefs.test.ts
+++ b/packages/decision/test/upstream-tracker.test.ts
@@ -3,7 +3,7 @@
 import type { UpstreamFacts } from "@harrierhitch/policy";
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
-import { type Observation, RetryBudget, ServiceBeliefs } from "../src/index.js";
+import { type Observation, RetryBudget, UpstreamTracker } from "../src/index.js";
 
 const upstreamCount = 6;
 
@@ -23,7 +23,7 @@
 
 const start = () => {
     const clock = new FakeClock();
-    const beliefs = new ServiceBeliefs({ clock, availabilityZone: "a" });
+    const beliefs = new UpstreamTracker({ clock, availabilityZone: "a" });
     beliefs.configure(service(), 18);
     const observe = (id: string, type: Observation["type"], times = 1): void => {
         Array.from({ length: times }, () => beliefs.observe(upstreamId(id), toObservation(type, clock.nowMs())));
@@ -45,7 +45,7 @@
         case "cooled":
             return { type, atMs, coldMs: 2000 };
         case "resting":
-            return { type, atMs, restMs: 3000, saidAtUnixMs: 0 };
+            return { type, atMs, backoffMs: 3000, saidAtUnixMs: 0 };
         case "limited":
             return { type, atMs, perSecond: 0.01, sentAtMs: 0 };
         default:
@@ -152,22 +152,27 @@
 
     test("requests in flight are counted for each upstream, and the oldest is known", async () => {
         const { clock, beliefs, facts } = start();
-        const flight = beliefs.start("u1" as UpstreamId);
+        const flight = beliefs.startRequest("u1" as UpstreamId);
         await clock.advance(30);
-        beliefs.start("u1" as UpstreamId);
+        beliefs.startRequest("u1" as UpstreamId);
         assert.deepEqual([facts("u1").inFlight, facts("u1").oldestInFlightMs], [2, 30]);
-        beliefs.finish(flight);
+        beliefs.finishRequest(flight);
         assert.deepEqual([facts("u1").inFlight, facts("u1").oldestInFlightMs], [1, 0]);
     });
 });
 
 test("retries are earned by requests, not by time, and bounded", () => {
-    const budget = new RetryBudget({ share: 0.1, maximumSaved: 3 });
-    assert.deepEqual([budget.take(), budget.take(), budget.take(), budget.take()], [true, true, true, false]);
-    Array.from({ length: 10 }, () => budget.earn());
-    assert.deepEqual([budget.take(), budget.take()], [true, false]);
-    Array.from({ length: 1000 }, () => budget.earn());
-    assert.deepEqual(Array.from({ length: 5 }, () => budget.take()).filter(Boolean).length, 3);
+    const budget = new RetryBudget({ ratio: 0.1, maximumBalance: 3 });
+    assert.deepEqual([budget.tryWithdraw(), budget.tryWithdraw(), budget.tryWithdraw(), budget.tryWithdraw()], [
+        true,
+        true,
+        true,
+        false,
+    ]);
+    Array.from({ length: 10 }, () => budget.deposit());
+    assert.deepEqual([budget.tryWithdraw(), budget.tryWithdraw()], [true, false]);
+    Array.from({ length: 1000 }, () => budget.deposit());
+    assert.deepEqual(Array.from({ length: 5 }, () => budget.tryWithdraw()).filter(Boolean).length, 3);
 });
 
 describe("a fuller upstream of which no answer has told", () => {
@@ -183,21 +188,21 @@
     test("is tried by one request at a time", () => {
         const { beliefs, clock } = start();
         beliefs.observe(u0, { type: "reported", atMs: clock.nowMs(), ...load });
-        assert.equal(beliefs.mayTry, true);
-        const trial = beliefs.start(u0);
-        assert.equal(beliefs.mayTry, false);
-        const other = beliefs.start(upstreamId("u1"));
-        beliefs.finish(other);
-        assert.equal(beliefs.mayTry, false);
-        beliefs.finish(trial);
-        assert.equal(beliefs.mayTry, true);
+        assert.equal(beliefs.mayExplore, true);
+        const trial = beliefs.startRequest(u0);
+        assert.equal(beliefs.mayExplore, false);
+        const other = beliefs.startRequest(upstreamId("u1"));
+        beliefs.finishRequest(other);
+        assert.equal(beliefs.mayExplore, false);
+        beliefs.finishRequest(trial);
+        assert.equal(beliefs.mayExplore, true);
     });
 
     test("is known after three answers", () => {
         const { beliefs, clock } = start();
-        const work = { usualMs: 100, latencyMs: 100, slowness: 1, reportAgeMs: 1 };
-        Array.from({ length: 10 }, () => beliefs.observeWork({ ...work, atMs: clock.nowMs(), fill: 0.3 }));
-        Array.from({ length: 3 }, () => beliefs.observeWork({ ...work, atMs: clock.nowMs(), fill: 1 }));
+        const work = { baselineMs: 100, latencyMs: 100, expectedSlowdown: 1, reportAgeMs: 1 };
+        Array.from({ length: 10 }, () => beliefs.recordResponse({ ...work, atMs: clock.nowMs(), utilization: 0.3 }));
+        Array.from({ length: 3 }, () => beliefs.recordResponse({ ...work, atMs: clock.nowMs(), utilization: 1 }));
         assert.equal(beliefs.facts()[0]?.bestInFlight, 3);
     });
 });
--- a/packages/fleet/src/configuration-news.ts
+++ b/packages/fleet/src/configuration-message.ts
@@ -6,18 +6,18 @@
 
 import { create } from "@bufbuild/protobuf";
 import { type Document, DocumentSchema, type Version, VersionSchema } from "@harrierhitch/protocol";
-import type { AcceptedConfiguration } from "@harrierhitch/published";
+import type { ActiveConfiguration } from "@harrierhitch/published";
 
 /** The version of the configuration in force; number 0 without one. */
-export const versionOf = ({ inForce }: AcceptedConfiguration): Version =>
+export const versionOf = ({ current: inForce }: ActiveConfiguration): Version =>
     create(VersionSchema, {
         number: BigInt(inForce?.configuration.generation ?? 0),
         hash: inForce?.configuration.hash ?? "",
     });
 
 /** The configuration, if another instance lacks it by the version it told. */
-export const documentsFor = (accepted: AcceptedConfiguration, other: Version | undefined): Document[] => {
-    const { inForce } = accepted;
+export const documentsFor = (accepted: ActiveConfiguration, other: Version | undefined): Document[] => {
+    const { current: inForce } = accepted;
     const version = versionOf(accepted);
     return inForce !== undefined && isAhead(version, other)
         ? [create(DocumentSchema, { version, text: inForce.text })]
--- a/packages/fleet/src/crash-message.ts
+++ b/packages/fleet/src/crash-message.ts
@@ -6,7 +6,7 @@
 
 import { create } from "@bufbuild/protobuf";
 import { requestKey } from "@harrierhitch/core";
-import type { CrashLedger, EndedRun, RequestPattern } from "@harrierhitch/decision";
+import type { CrashHistory, CrashRecord, RequestSignature } from "@harrierhitch/decision";
 import {
     type EndedRun as EndedRunMessage,
     EndedRunSchema,
@@ -26,14 +26,14 @@
  * @param isBrief - Whether to leave out what is only new.
  */
 export const writeCrashNews = (
-    ledger: CrashLedger,
+    ledger: CrashHistory,
     nowMs: number,
-    other: readonly RequestPattern[],
+    other: readonly RequestSignature[],
     isBrief: boolean,
 ): CrashNews => ({
-    withheld: [...ledger.withheld],
-    endedRuns: ledger.toTell(other, isBrief).map((
-        { id, key, upstream, endedAtMs, endedAtUnixMs, ranMs, isAnswered, answeredAlike },
+    withheld: [...ledger.quarantined],
+    endedRuns: ledger.recentEntries(other, isBrief).map((
+        { id, key, upstream, endedAtMs, endedAtUnixMs, ranMs, hasSucceeded: isAnswered, succeededMasks: answeredAlike },
     ) => create(EndedRunSchema, {
         id,
         key,
@@ -54,10 +54,10 @@
  * @param nowMs - The time on this instance's clock.
  * @returns Whether anything was new.
  */
-export const takeInCrashNews = (ledger: CrashLedger, { endedRuns, withheld }: CrashNews, nowMs: number): boolean =>
+export const takeInCrashNews = (ledger: CrashHistory, { endedRuns, withheld }: CrashNews, nowMs: number): boolean =>
     ledger.merge(endedRuns.map(message => readEndedRun(message, nowMs)), withheld);
 
-const readEndedRun = (message: EndedRunMessage, nowMs: number): EndedRun => {
+const readEndedRun = (message: EndedRunMessage, nowMs: number): CrashRecord => {
     const { id, key, upstream, ageMs, endedAtUnixMs, ranMs, answered, answeredAlike } = message;
     return {
         id,
@@ -66,7 +66,7 @@
         endedAtMs: nowMs - Math.max(0, ageMs),
         endedAtUnixMs: Number(endedAtUnixMs),
         ranMs,
-        isAnswered: answered,
-        answeredAlike,
+        hasSucceeded: answered,
+        succeededMasks: answeredAlike,
     };
 };
--- a/packages/fleet/src/directory-message.ts
+++ b/packages/fleet/src/directory-message.ts
@@ -6,7 +6,7 @@
 
 import { create } from "@bufbuild/protobuf";
 import { type Directory, DirectorySchema, ListingSchema, ZoneListingSchema } from "@harrierhitch/protocol";
-import { type DirectoryNews, toListing, type UpstreamDirectory } from "@harrierhitch/published";
+import { type DirectoryUpdate, toDirectoryEntry, type UpstreamDirectory } from "@harrierhitch/published";
 
 /**
  * Writes what an instance lacks of a directory.
@@ -20,12 +20,12 @@
     if (directory.revision <= revision) {
         return create(DirectorySchema, { ...known, complete: revision < Infinity });
     }
-    const { whole, listings, zones } = directory.newsAfter(revision);
+    const { isSnapshot: whole, entries: listings, zones } = directory.updatesSince(revision);
     return create(DirectorySchema, {
         ...known,
         whole,
         complete: true,
-        listings: listings.map(({ upstream, revision: at, text, doubtedMs = 0 }) =>
+        listings: listings.map(({ upstream, revision: at, text, unconfirmedMs: doubtedMs = 0 }) =>
             create(ListingSchema, {
                 upstream,
                 revision: BigInt(at),
@@ -41,13 +41,13 @@
 };
 
 /** Reads what another instance told of its directory; `undefined` when it told its revision only. */
-export const readDirectory = ({ complete, revision, whole, listings, zones }: Directory): DirectoryNews | undefined =>
+export const readDirectory = ({ complete, revision, whole, listings, zones }: Directory): DirectoryUpdate | undefined =>
     complete
         ? {
             revision: Number(revision),
-            whole,
-            listings: listings.map(({ upstream, revision: at, text, removed, doubtedMs }) =>
-                toListing(upstream, Number(at), removed ? undefined : text, doubtedMs)
+            isSnapshot: whole,
+            entries: listings.map(({ upstream, revision: at, text, removed, doubtedMs }) =>
+                toDirectoryEntry(upstream, Number(at), removed ? undefined : text, doubtedMs)
             ),
             zones: zones.map(({ availabilityZone, revision: at, outOfService }) => ({
                 availabilityZone,
