--- a/packages/fleet/src/roles.ts
+++ b/packages/fleet/src/distribution-roles.ts
@@ -8,9 +8,9 @@
 import { type Member, Role } from "@harrierhitch/protocol";
 import type { FleetTimes } from "@harrierhitch/published";
 import type { Members } from "./members.js";
-import { readersOf, relaysOf } from "./sources.js";
+import { selectReaders, selectRelays } from "./select-distributors.js";
 
-/** Options of {@link Roles}. */
+/** Options of {@link DistributionRoles}. */
 export interface RolesOptions {
     readonly clock: Clock;
     readonly members: Members;
@@ -54,7 +54,7 @@
 const askedShare = 2;
 
 /** Finds readers and relays among the members that live, answer and reach the platform. */
-export class Roles {
+export class DistributionRoles {
     private readonly avoided = new Map<string, Avoided>();
     private readonly askedAtMs = new Map<Role, number>();
     private found: Sources | undefined;
@@ -96,7 +96,7 @@
     }
 
     /** Whether others may rely on what this instance reads. */
-    get hasFollowers(): boolean {
+    get hasSubscribers(): boolean {
         return this.options.members.alive.length > 1;
     }
 
@@ -114,7 +114,7 @@
         const { clock, times } = this.options;
         const wasSource = [...this.readers, ...this.relays].some(source => source.instance === instance);
         const before = this.avoided.get(instance);
-        const forMs = before === undefined ? times.avoidMs : Math.min(maximumAvoidMs, before.forMs * 2);
+        const forMs = before === undefined ? times.peerBackoffMs : Math.min(maximumAvoidMs, before.forMs * 2);
         this.avoided.set(instance, { untilMs: clock.nowMs() + forMs, forMs });
         this.found = undefined;
         return wasSource;
@@ -139,8 +139,8 @@
             return found;
         }
         const answering = members.alive.filter(({ instance }) => (this.avoided.get(instance)?.untilMs ?? 0) <= nowMs);
-        const readers = readersOf(this.ableAmong(answering));
-        const relays = relaysOf(members.self.availabilityZone, answering, readers);
+        const readers = selectReaders(this.ableAmong(answering));
+        const relays = selectRelays(members.self.availabilityZone, answering, readers);
         const isAmong = (sources: readonly Member[]): boolean =>
             sources.some(({ instance }) => instance === members.self.instance);
         const inZone = isAmong(relays) ? Role.RELAY : Role.UNSPECIFIED;
@@ -166,6 +166,6 @@
 
     private isAskedAs(role: Role): boolean {
         const { clock, times } = this.options;
-        return clock.nowMs() - (this.askedAtMs.get(role) ?? -Infinity) < askedShare * times.askMs;
+        return clock.nowMs() - (this.askedAtMs.get(role) ?? -Infinity) < askedShare * times.longPollMs;
     }
 }
--- a/packages/fleet/src/rumors.ts
+++ b/packages/fleet/src/drain-gossip.ts
@@ -14,7 +14,7 @@
 import { type Observation, ObservationSchema } from "@harrierhitch/protocol";
 
 /** What another instance learned: that a start of an upstream leaves. */
-export interface HeardRumor {
+export interface DrainMessage {
     readonly upstream: string;
     /** The start that leaves, in milliseconds since the Unix epoch; 0 when it is not known. */
     readonly startedAtMs: number;
@@ -29,7 +29,7 @@
     readonly takenAtMs: number;
 }
 
-/** Options of {@link Rumors}. */
+/** Options of {@link DrainGossip}. */
 export interface RumorsOptions {
     readonly clock: Clock;
 }
@@ -47,7 +47,7 @@
 const maximumPerExchange = 32;
 
 /** Keeps, of each upstream, the latest start that is known to leave. */
-export class Rumors {
+export class DrainGossip {
     private readonly kept = new Map<string, Kept>();
 
     /** @param options - The clock. */
@@ -60,12 +60,12 @@
      * @param startedAtMs - The start that leaves, in milliseconds since the Unix epoch; 0 when it is not known.
      * @returns Whether it was not known.
      */
-    learn(upstream: string, startedAtMs: number): boolean {
+    record(upstream: string, startedAtMs: number): boolean {
         return this.put(upstream, startedAtMs, this.options.clock.nowMs());
     }
 
     /** The observations that are told in an exchange, with their ages. */
-    news(): readonly Observation[] {
+    pending(): readonly Observation[] {
         const nowMs = this.options.clock.nowMs();
         return [...this.kept]
             .filter(([, { learnedAtMs }]) => nowMs - learnedAtMs < passOnMs)
@@ -77,7 +77,7 @@
     }
 
     /** Takes in observations; gives those that were not known. */
-    merge(observations: readonly Observation[]): readonly HeardRumor[] {
+    merge(observations: readonly Observation[]): readonly DrainMessage[] {
         this.forgetOld();
         const nowMs = this.options.clock.nowMs();
         return observations.flatMap(({ upstream, startedAtMs: started, ageMs }) => {
--- a/packages/fleet/src/exchange.ts
+++ b/packages/fleet/src/exchange.ts
@@ -16,31 +16,39 @@
     type MemberCursor,
     Role,
 } from "@harrierhitch/protocol";
-import { documentsFor, versionOf } from "./configuration-news.js";
+import { documentsFor, versionOf } from "./configuration-message.js";
 import { takeInCrashNews, writeCrashNews } from "./crash-message.js";
 import { readDirectory, writeDirectory } from "./directory-message.js";
-import type { ExchangeAnswer, ExchangeManner, SendExchange } from "./exchange-manner.js";
+import type { DistributionRoles } from "./distribution-roles.js";
+import type { DrainGossip } from "./drain-gossip.js";
+import type { ExchangeAnswer, ExchangeManner, SendExchange } from "./exchange-call.js";
 import type { FleetOptions } from "./fleet-options.js";
-import { type Freshness, tellShare } from "./freshness.js";
+import type { NewsReach } from "./gossip-scope.js";
 import { takeInLimits, writeLimits } from "./limit-message.js";
 import type { Members } from "./members.js";
-import type { NewsReach } from "./news-reach.js";
-import type { Roles } from "./roles.js";
-import type { Rumors } from "./rumors.js";
+import { type StalenessTracker, tellShare } from "./staleness-tracker.js";
 
 /** Options of {@link Exchange}; those of the fleet mean the same there. */
 export interface ExchangeOptions extends
     Pick<
         FleetOptions,
-        "clock" | "fleet" | "directory" | "accepted" | "crashes" | "limits" | "onConfiguration" | "onDirectory" | "onRumor"
+        | "clock"
+        | "fleet"
+        | "directory"
+        | "activeConfiguration"
+        | "crashes"
+        | "limits"
+        | "onConfiguration"
+        | "onDirectory"
+        | "onDrainMessage"
     > {
     /** How old what is told is; brought up to date by what is heard. */
-    readonly freshness: Freshness;
+    readonly freshness: StalenessTracker;
     /** Time between two confirmations: knowledge that is older may have been confirmed meanwhile. */
     readonly confirmMs: number;
     readonly members: Members;
-    readonly roles: Roles;
-    readonly rumors: Rumors;
+    readonly roles: DistributionRoles;
+    readonly rumors: DrainGossip;
     /** Told when an exchange brought something that others should hear at once. */
     readonly onNews: (reach: NewsReach) => void;
     /** Told of members that have just said that they leave. */
@@ -80,7 +88,7 @@
         this.told.set(instance, told);
         this.takeIn(instance, response, manner.role !== undefined && manner.role !== Role.UNSPECIFIED);
         const ageMs = this.takeInAge(response, Math.max(0, clock.nowMs() - askedAtMs - response.heldMs));
-        const documents = documentsFor(this.options.accepted, response.configuration);
+        const documents = documentsFor(this.options.activeConfiguration, response.configuration);
         const directory = this.directoryFor(Number(response.directory?.revision ?? 0n));
         if (documents.length > 0 || directory.listings.length > 0) {
             const second = this.request(documents, directory, { receiver: instance });
@@ -104,9 +112,9 @@
             sender: members.self,
             members: [...news.members],
             told: news.told,
-            configuration: versionOf(this.options.accepted),
-            configurationDocuments: documentsFor(this.options.accepted, request.configuration),
-            observations: request.brief ? [] : [...rumors.news()],
+            configuration: versionOf(this.options.activeConfiguration),
+            configurationDocuments: documentsFor(this.options.activeConfiguration, request.configuration),
+            observations: request.brief ? [] : [...rumors.pending()],
             directory: this.directoryFor(Number(request.directory?.revision ?? 0n)),
             heldMs,
             limits: writeLimits(limits, request.brief),
@@ -121,9 +129,9 @@
     private isBehind({ directory, configuration }: ExchangeRequest): boolean {
         const { directory: own, freshness, confirmMs } = this.options;
         const ageMs = directory === undefined || directory.ageMs < 0 ? Infinity : directory.ageMs;
-        const isYounger = ageMs - freshness.ageMs > confirmMs * tellShare;
+        const isYounger = ageMs - freshness.stalenessMs > confirmMs * tellShare;
         return Number(directory?.revision ?? 0n) < own.revision
-            || documentsFor(this.options.accepted, configuration).length > 0
+            || documentsFor(this.options.activeConfiguration, configuration).length > 0
             || ageMs > confirmMs && isYounger;
     }
 
@@ -132,7 +140,7 @@
      * once: where two see the same runs differently, its next question would be answered for the same reason.
      */
     private lacksWithheld(asking: string, withheld: readonly string[]): boolean {
-        const lacking = [...this.options.crashes.lacking(withheld)].sort().join();
+        const lacking = [...this.options.crashes.missingQuarantines(withheld)].sort().join();
         const isNew = lacking !== "" && this.hurried.get(asking) !== lacking;
         if (isNew) {
             this.hurried.set(asking, lacking);
@@ -152,9 +160,9 @@
             fleet,
             sender: members.self,
             members: [...news.members],
-            configuration: versionOf(this.options.accepted),
+            configuration: versionOf(this.options.activeConfiguration),
             configurationDocuments,
-            observations: isBrief ? [] : [...rumors.news()],
+            observations: isBrief ? [] : [...rumors.pending()],
             directory,
             waitMs,
             brief: isBrief,
@@ -167,11 +175,22 @@
     }
 
     private takeIn(source: string, news: ExchangeRequest | ExchangeResponse, isFromSource = false): void {
-        const { clock, members, rumors, crashes, limits, accepted, directory, onConfiguration, onRumor, onNews, onLeaving } =
-            this.options;
+        const {
+            clock,
+            members,
+            rumors,
+            crashes,
+            limits,
+            activeConfiguration: accepted,
+            directory,
+            onConfiguration,
+            onDrainMessage: onRumor,
+            onNews,
+            onLeaving,
+        } = this.options;
         const told = news.sender === undefined ? news.members : [news.sender, ...news.members];
         const leaving = told.filter(member => member.leaving && members.stateOf(member.instance) !== "left");
-        const generationBefore = accepted.inForce?.configuration.generation;
+        const generationBefore = accepted.current?.configuration.generation;
         const revisionBefore = directory.revision;
         this.forgetRestarted(news.sender);
         members.merge(told, source);
@@ -189,7 +208,7 @@
             onLeaving(leaving);
         }
         if (
-            isUrgent || generationBefore !== accepted.inForce?.configuration.generation
+            isUrgent || generationBefore !== accepted.current?.configuration.generation
             || revisionBefore !== directory.revision
         ) {
             // What a source tells, it tells everyone who asks it.
@@ -208,12 +227,12 @@
     private takeInDirectory(message: Directory | undefined): void {
         const { directory, onDirectory } = this.options;
         const news = message === undefined ? undefined : readDirectory(message);
-        const isEmpty = news === undefined || news.listings.length === 0 && news.zones.length === 0;
+        const isEmpty = news === undefined || news.entries.length === 0 && news.zones.length === 0;
         if (news === undefined || isEmpty && news.revision <= directory.revision) {
             return;
         }
-        directory.takeIn(news);
-        if (!isEmpty || news.whole) {
+        directory.merge(news);
+        if (!isEmpty || news.isSnapshot) {
             onDirectory();
         }
     }
@@ -225,8 +244,8 @@
      * @returns That age in milliseconds; infinite where it says nothing of what this instance knows.
      */
     private takeInAge({ directory, configuration }: ExchangeResponse, wayMs: number): number {
-        const { accepted, directory: own, freshness } = this.options;
-        const generation = accepted.inForce?.configuration.generation ?? 0;
+        const { activeConfiguration: accepted, directory: own, freshness } = this.options;
+        const generation = accepted.current?.configuration.generation ?? 0;
         const lacksNothing = Number(directory?.revision ?? 0n) <= own.revision
             && Number(configuration?.number ?? 0n) <= generation;
         if (directory === undefined || directory.ageMs < 0 || !lacksNothing) {
@@ -239,6 +258,6 @@
     /** What is known of the directory, with the changes that an instance lacks that knows it up to a revision. */
     private directoryFor(revision: number): Directory {
         const { directory, freshness } = this.options;
-        return writeDirectory(directory, freshness.knownAgeMs, revision);
+        return writeDirectory(directory, freshness.confirmedStalenessMs, revision);
     }
 }
--- a/packages/fleet/src/fleet-options.ts
+++ b/packages/fleet/src/fleet-options.ts
@@ -5,13 +5,13 @@
  */
 
 import type { Clock, InstanceId, RandomSource } from "@harrierhitch/core";
-import type { CrashLedger, UpstreamLimits } from "@harrierhitch/decision";
-import type { AcceptedConfiguration } from "@harrierhitch/published";
+import type { CrashHistory, UpstreamLimits } from "@harrierhitch/decision";
+import type { ActiveConfiguration } from "@harrierhitch/published";
 import type { FleetTimes } from "@harrierhitch/published";
 import type { UpstreamDirectory } from "@harrierhitch/published";
+import type { DrainMessage } from "./drain-gossip.js";
 import type { ExchangeReason } from "./exchange-reason.js";
 import type { PeerAddress, PeerClients } from "./peer-clients.js";
-import type { HeardRumor } from "./rumors.js";
 
 /** Options of a fleet. */
 export interface FleetOptions {
@@ -27,10 +27,10 @@
     /** Instances that are asked first; they may be gone, and this one may be among them. */
     readonly seeds: readonly PeerAddress[];
     readonly clients: PeerClients;
-    readonly accepted: AcceptedConfiguration;
+    readonly activeConfiguration: ActiveConfiguration;
     readonly directory: UpstreamDirectory;
     /** What is remembered of upstreams that ended under requests. */
-    readonly crashes: CrashLedger;
+    readonly crashes: CrashHistory;
     /** What upstreams say of how much they take. */
     readonly limits: UpstreamLimits;
     readonly times?: Partial<FleetTimes>;
@@ -39,11 +39,11 @@
     /** Told when the listed upstreams changed by what another instance told. */
     readonly onDirectory: () => void;
     /** Told of an observation of another instance. */
-    readonly onRumor: (rumor: HeardRumor) => void;
+    readonly onDrainMessage: (rumor: DrainMessage) => void;
     /** Told when the number of instances that may be running has changed. */
     readonly onSizeChange: () => void;
     /** Told that a reader or relay did not answer, so that another one is asked. */
-    readonly onSourceLost: (source: string, error: Error) => void;
+    readonly onDistributorLost: (source: string, error: Error) => void;
     /** Told of each exchange that is begun here. */
     readonly onExchange: (reason: ExchangeReason) => void;
     /** Told when an exchange had to wait because the one before it over the same link was just now. */
--- a/packages/fleet/src/fleet.ts
+++ b/packages/fleet/src/fleet.ts
@@ -7,35 +7,35 @@
 import { sleep } from "@harrierhitch/core";
 import type { Member } from "@harrierhitch/protocol";
 import { defaultFleetTimes, type FleetTimes } from "@harrierhitch/published";
-import { ChosenMembers } from "./chosen-members.js";
+import { hearOthers } from "./contact-peers.js";
+import { DistributionRoles } from "./distribution-roles.js";
+import { DrainGossip } from "./drain-gossip.js";
 import { Exchange } from "./exchange.js";
 import type { FleetOptions } from "./fleet-options.js";
-import { Freshness, tellShare } from "./freshness.js";
-import { hearOthers } from "./hear-others.js";
+import type { NewsReach } from "./gossip-scope.js";
 import { chooseLinks, type Link } from "./links.js";
+import { MemberAssignment } from "./member-assignment.js";
 import { Members } from "./members.js";
-import type { NewsReach } from "./news-reach.js";
-import { PartSearch } from "./part-search.js";
+import { PartSearch } from "./partition-recovery.js";
 import { PeerCalls } from "./peer-calls.js";
 import type { PeerAddress } from "./peer-clients.js";
 import { PeerLinks } from "./peer-links.js";
-import { Roles } from "./roles.js";
-import { Rumors } from "./rumors.js";
 import { Seeds } from "./seeds.js";
-import { selfOf } from "./self.js";
+import { selfOf } from "./self-member.js";
+import { StalenessTracker, tellShare } from "./staleness-tracker.js";
 
 /** Joins membership, documents, listed upstreams and observations of one instance. */
 export class Fleet {
     readonly members: Members;
-    readonly rumors: Rumors;
+    readonly drainGossip: DrainGossip;
     readonly exchange: Exchange;
     /** Who reads the platform, and who passes on what they read. */
-    readonly roles: Roles;
+    readonly roles: DistributionRoles;
     /** How old the knowledge of what the platform publishes is, from whatever source. */
-    readonly freshness: Freshness;
+    readonly stalenessTracker: StalenessTracker;
     readonly times: FleetTimes;
     /** Which cold upstreams this instance shares with a few others. */
-    readonly chosen: ChosenMembers;
+    readonly assignment: MemberAssignment;
     private readonly ending = new AbortController();
     private readonly links: PeerLinks;
     private readonly calls: PeerCalls;
@@ -49,21 +49,21 @@
         const { clock, random, address, port } = options;
         this.times = { ...defaultFleetTimes, ...options.times };
         this.seeds = new Seeds({ random, self: { address, port }, addresses: options.seeds });
-        this.freshness = new Freshness(clock, this.times.confirmMs * tellShare, this.times.batchMs);
+        this.stalenessTracker = new StalenessTracker(clock, this.times.confirmMs * tellShare, this.times.batchMs);
         this.members = new Members({ clock, self: selfOf(options), times: this.times });
-        this.roles = new Roles({
+        this.roles = new DistributionRoles({
             clock,
             members: this.members,
             times: this.times,
             readsFromStart: () => this.seeds.includesSelf || this.seeds.all.length === 0,
         });
-        this.chosen = new ChosenMembers({
+        this.assignment = new MemberAssignment({
             clock,
             members: this.members,
             joinedAtMs: this.roles.joinedAtMs,
             settleMs: this.times.settleMs,
         });
-        this.rumors = new Rumors({ clock });
+        this.drainGossip = new DrainGossip({ clock });
         this.links = new PeerLinks({
             clock,
             random,
@@ -75,11 +75,11 @@
         });
         this.exchange = new Exchange({
             ...options,
-            freshness: this.freshness,
+            freshness: this.stalenessTracker,
             confirmMs: this.times.confirmMs,
             members: this.members,
             roles: this.roles,
-            rumors: this.rumors,
+            rumors: this.drainGossip,
             onNews: reach => this.tell(reach),
             onLeaving: leaving => this.replaceLeaving(leaving),
         });
@@ -100,7 +100,7 @@
     }
 
     /** Takes over other seeds. */
-    seedsAre(seeds: readonly PeerAddress[]): void {
+    replaceSeeds(seeds: readonly PeerAddress[]): void {
         this.seeds.replace(seeds);
     }
 
@@ -111,8 +111,8 @@
 
     /** Announces to its links, and to those who wait for its answers, that this instance leaves; they pass it on. */
     async announceLeaving(): Promise<void> {
-        this.members.tell({ leaving: true });
-        this.freshness.tell();
+        this.members.updateSelf({ leaving: true });
+        this.stalenessTracker.tell();
         const links = this.members.others.filter(({ instance }) => this.links.includes(instance));
         await Promise.all(links.map(member => this.calls.exchangeWith(member, "news")));
     }
@@ -130,14 +130,14 @@
      * @param upstream - The upstream.
      * @param startedAtMs - The start that leaves, in milliseconds since the Unix epoch; 0 when it is not known.
      */
-    tellLeaving(upstream: string, startedAtMs: number): void {
-        if (this.rumors.learn(upstream, startedAtMs)) {
-            this.wakeLinks();
+    announceDraining(upstream: string, startedAtMs: number): void {
+        if (this.drainGossip.record(upstream, startedAtMs)) {
+            this.gossipNow();
         }
     }
 
     /** Tells others that there is news that no reader tells, without waiting for the next exchange. */
-    wakeLinks(): void {
+    gossipNow(): void {
         this.tell("everyone");
     }
 
@@ -145,12 +145,12 @@
      * Tells others what the platform told this instance. A reader leaves it at those who ask it: the other readers read
      * the same, and pushing it over every link as well would nearly double the exchanges.
      */
-    tellPublication(): void {
+    gossipPlatformUpdate(): void {
         this.tell(this.roles.isReader ? "followers" : "everyone");
     }
 
     private tell(reach: NewsReach): void {
-        this.freshness.tell();
+        this.stalenessTracker.tell();
         if (reach !== "followers") {
             this.links.wake(reach === "everyone");
         }
@@ -163,7 +163,7 @@
      *
      * @param sleptMs - How long it slept.
      */
-    wakeLate(sleptMs: number): void {
+    resumeAfterStall(sleptMs: number): void {
         this.members.forgive();
         if (sleptMs >= this.times.confirmMs) {
             this.links.wake(true);
@@ -177,7 +177,7 @@
      * @param timeoutMs - Longest wait.
      * @returns Whether one was heard, or there is nobody to hear.
      */
-    hearOthers(timeoutMs: number): Promise<boolean> {
+    contactPeers(timeoutMs: number): Promise<boolean> {
         const { clock } = this.options;
         const { calls, members, seeds, ending: { signal } } = this;
         return hearOthers({ clock, calls, members, seeds, timeoutMs, signal });
@@ -191,12 +191,12 @@
             this.links.refresh();
             this.search.beat();
             this.tellSize();
-            await sleep(clock, this.times.exchangeMs, this.ending.signal);
+            await sleep(clock, this.times.exchangeIntervalMs, this.ending.signal);
         }
     }
 
     private tellSize(): void {
-        const { possible } = this.members;
+        const { possibleSize: possible } = this.members;
         if (possible !== this.knownSize) {
             this.knownSize = possible;
             this.options.onSizeChange();
@@ -212,7 +212,7 @@
      * Whether a source answers, and knows no better than this instance: then it is the one that tries to reach the
      * platform, and hundreds of others need not try as well.
      */
-    get isSourceStale(): boolean {
+    get isDistributorStale(): boolean {
         return this.calls.isSourceStale;
     }
 
@@ -232,7 +232,7 @@
     private avoid(peer: PeerAddress, error: Error): void {
         const member = this.members.others.find(({ address, port }) => address === peer.address && port === peer.port);
         if (member !== undefined && !this.ending.signal.aborted && this.roles.avoid(member)) {
-            this.options.onSourceLost(member.instance, error);
+            this.options.onDistributorLost(member.instance, error);
             this.links.refresh();
         }
     }
--- a/packages/fleet/src/index.ts
+++ b/packages/fleet/src/index.ts
@@ -5,13 +5,13 @@
  * @packageDocumentation
  */
 
-export { ChosenMembers } from "./chosen-members.js";
+export { DrainGossip, type DrainMessage } from "./drain-gossip.js";
 export { type ExchangeReason } from "./exchange-reason.js";
 export { type FleetOptions } from "./fleet-options.js";
 export { Fleet } from "./fleet.js";
-export { Freshness } from "./freshness.js";
+export { MemberAssignment } from "./member-assignment.js";
 export { type MemberState } from "./member.js";
-export { callWithin, type PeerAddress, type PeerClients } from "./peer-clients.js";
+export { callWithTimeout, type PeerAddress, type PeerClients } from "./peer-clients.js";
 export { peerService, type PeerServiceOptions } from "./peer-service.js";
-export { type HeardRumor, Rumors } from "./rumors.js";
-export { readersOf, relaysOf } from "./sources.js";
+export { selectReaders, selectRelays } from "./select-distributors.js";
+export { StalenessTracker } from "./staleness-tracker.js";
--- a/packages/fleet/src/limit-message.ts
+++ b/packages/fleet/src/limit-message.ts
@@ -6,7 +6,7 @@
 
 import { create } from "@bufbuild/protobuf";
 import { upstreamId } from "@harrierhitch/core";
-import type { ToldLimit, UpstreamLimits } from "@harrierhitch/decision";
+import type { UpstreamLimitNotice, UpstreamLimits } from "@harrierhitch/decision";
 import { type NamedLimit, NamedLimitSchema } from "@harrierhitch/protocol";
 
 /**
@@ -16,7 +16,7 @@
  * @param isBrief - Whether to leave out what is not just new.
  */
 export const writeLimits = (limits: UpstreamLimits, isBrief: boolean): NamedLimit[] =>
-    limits.toTell(isBrief).map(({ upstream, startedAtMs, word: { perSecond, sinceUnixMs, saidAtUnixMs, heardBy } }) =>
+    limits.recentEntries(isBrief).map(({ upstream, startedAtMs, notice: { perSecond, sinceUnixMs, saidAtUnixMs, heardBy } }) =>
         create(NamedLimitSchema, {
             upstream,
             startedAtMs: BigInt(startedAtMs),
@@ -36,8 +36,10 @@
  */
 export const takeInLimits = (limits: UpstreamLimits, told: readonly NamedLimit[]): boolean => limits.merge(told.map(readLimit));
 
-const readLimit = ({ upstream, startedAtMs, perSecond, sinceUnixMs, saidAtUnixMs, heardBy }: NamedLimit): ToldLimit => ({
+const readLimit = (
+    { upstream, startedAtMs, perSecond, sinceUnixMs, saidAtUnixMs, heardBy }: NamedLimit,
+): UpstreamLimitNotice => ({
     upstream: upstreamId(upstream),
     startedAtMs: Number(startedAtMs),
-    word: { perSecond, sinceUnixMs: Number(sinceUnixMs), saidAtUnixMs: Number(saidAtUnixMs), heardBy },
+    notice: { perSecond, sinceUnixMs: Number(sinceUnixMs), saidAtUnixMs: Number(saidAtUnixMs), heardBy },
 });
--- a/packages/fleet/src/link-task.ts
+++ b/packages/fleet/src/link-task.ts
@@ -6,9 +6,9 @@
 
 import { type Clock, type RandomSource, sleep } from "@harrierhitch/core";
 import type { Member } from "@harrierhitch/protocol";
+import { NewsFlag } from "./auto-reset-event.js";
 import type { ExchangeReason } from "./exchange-reason.js";
 import type { Link } from "./links.js";
-import { NewsFlag } from "./news-flag.js";
 
 /** Options of {@link LinkTask}. */
 export interface LinkTaskOptions {
--- a/packages/fleet/src/links.ts
+++ b/packages/fleet/src/links.ts
@@ -4,10 +4,10 @@
  * @packageDocumentation
  */
 
-import { rendezvous } from "@harrierhitch/core";
+import { rendezvousOrder } from "@harrierhitch/core";
 import { type Member, Role } from "@harrierhitch/protocol";
-import { type FleetTimes, quietMsFor } from "@harrierhitch/published";
-import { readersAsked } from "./sources.js";
+import { type FleetTimes, quietIntervalMsFor } from "@harrierhitch/published";
+import { readersAsked } from "./select-distributors.js";
 
 /** A member that this instance talks to. */
 export interface Link {
@@ -53,17 +53,22 @@
  */
 export const chooseLinks = (options: LinkOptions): readonly Link[] => {
     const { self, role, members, times } = options;
-    const order = rendezvous(`links ${self.instance}`, members, ({ instance }) => instance);
+    const order = rendezvousOrder(`links ${self.instance}`, members, ({ instance }) => instance);
     const sources = sourcesOf(options, order);
     const others = order.filter(member => sources.every(source => source.member !== member));
     if (isFullMesh(members)) {
-        const toOthers = others.map(member => ({ member, intervalMs: times.exchangeMs, waitMs: 0, role: Role.UNSPECIFIED }));
+        const toOthers = others.map(member => ({
+            member,
+            intervalMs: times.exchangeIntervalMs,
+            waitMs: 0,
+            role: Role.UNSPECIFIED,
+        }));
         return [...sources, ...toOthers];
     }
     const isInside = (member: Member): boolean => member.availabilityZone === self.availabilityZone;
     const inside = others.filter(isInside).slice(0, linksInside);
     const outside = role === Role.READER ? others.filter(member => !isInside(member)).slice(0, linksOutside) : [];
-    const intervalMs = quietMsFor(times, members.length + 1);
+    const intervalMs = quietIntervalMsFor(times, members.length + 1);
     return [
         ...sources,
         ...[...inside, ...outside].map(member => ({ member, intervalMs, waitMs: 0, role: Role.UNSPECIFIED })),
@@ -76,8 +81,8 @@
         order.filter(member => wanted.some(({ instance }) => instance === member.instance));
     const askAs = (asked: Role) => (member: Member): Link => ({
         member,
-        intervalMs: times.exchangeMs,
-        waitMs: times.askMs,
+        intervalMs: times.exchangeIntervalMs,
+        waitMs: times.longPollMs,
         role: asked,
     });
     const readersFirst = amongOrder(readers).slice(0, readersAsked).map(askAs(Role.READER));
--- a/packages/fleet/src/chosen-members.ts
+++ b/packages/fleet/src/member-assignment.ts
@@ -4,7 +4,7 @@
  * @packageDocumentation
  */
 
-import { type Clock, rendezvous } from "@harrierhitch/core";
+import { type Clock, rendezvousOrder } from "@harrierhitch/core";
 import type { LimitShare } from "@harrierhitch/decision";
 import type { Members } from "./members.js";
 
@@ -20,8 +20,8 @@
 /** Most choices that are remembered: limits that change all the time ask for ever other numbers of members. */
 const maximumFound = 4096;
 
-/** Options of {@link ChosenMembers}. */
-export interface ChosenMembersOptions {
+/** Options of {@link MemberAssignment}. */
+export interface MemberAssignmentOptions {
     readonly clock: Clock;
     readonly members: Members;
     /** When this instance began to talk to others. */
@@ -31,13 +31,13 @@
 }
 
 /** Finds who is chosen among all members that have not left, also silent ones: they may be running behind a cut. */
-export class ChosenMembers {
+export class MemberAssignment {
     private readonly found = new Map<string, number>();
     private version = -1;
     private count: number | undefined;
 
     /** @param options - Members and times. */
-    constructor(private readonly options: ChosenMembersOptions) {}
+    constructor(private readonly options: MemberAssignmentOptions) {}
 
     /**
      * How many instances share a cold upstream.
@@ -45,12 +45,12 @@
      * @param upstream - Id of the upstream.
      * @returns Their number; 0 where this instance is none of them, or has not heard of the others yet.
      */
-    sharersOf(upstream: string): number {
+    participantsOf(upstream: string): number {
         return this.chosenFor(`cold ${upstream}`, sharersPerUpstream);
     }
 
     /** Whether this instance alone is to try a withheld request. */
-    mayTry(pattern: string): boolean {
+    isTrialOwner(pattern: string): boolean {
         return this.chosenFor(`trial ${pattern}`, 1) > 0;
     }
 
@@ -66,7 +66,7 @@
         const possible = this.possible();
         const members = Math.max(possible, fewestMembers);
         const isSharer = possible > 1 && !self.leaving && this.chosenFor(`limit ${upstream}`, wanted) > 0;
-        return { isSharer, sharers: Math.min(wanted, members), members };
+        return { isParticipant: isSharer, participants: Math.min(wanted, members), members };
     }
 
     private chosenFor(key: string, count: number): number {
@@ -84,7 +84,7 @@
     /** How many instances there may be; counted once for each change, since decisions ask for it many times. */
     private possible(): number {
         this.forgetOutdated();
-        this.count ??= this.options.members.possible;
+        this.count ??= this.options.members.possibleSize;
         return this.count;
     }
 
@@ -100,7 +100,7 @@
     private find(key: string, count: number): number {
         const { self, others } = this.options.members;
         const staying = [self, ...others.filter(({ leaving }) => !leaving)];
-        const chosen = rendezvous(key, staying, ({ instance }) => instance).slice(0, count);
+        const chosen = rendezvousOrder(key, staying, ({ instance }) => instance).slice(0, count);
         return chosen.includes(self) ? chosen.length : 0;
     }
 }
--- a/packages/fleet/src/members.ts
+++ b/packages/fleet/src/members.ts
@@ -67,7 +67,7 @@
     }
 
     /** Changes what this instance tells of itself. */
-    tell(change: Partial<Pick<Member, "leaving" | "platformReachable" | "port">>): void {
+    updateSelf(change: Partial<Pick<Member, "leaving" | "platformReachable" | "port">>): void {
         this.own = create(MemberSchema, { ...this.own, ...change, heartbeat: this.own.heartbeat + 1n });
         this.changes += Object.keys(change).length;
     }
@@ -77,7 +77,7 @@
         const nowMs = this.options.clock.nowMs();
         if (nowMs - this.beatAtMs >= this.heartbeatMs) {
             this.beatAtMs = nowMs;
-            this.tell({});
+            this.updateSelf({});
         }
     }
 
@@ -124,7 +124,7 @@
      * How many instances may be running, this one included: all that were heard of and have not said that they
      * leave, also the silent ones, which may be running behind a cut.
      */
-    get possible(): number {
+    get possibleSize(): number {
         return 1 + this.others.filter(member => !member.leaving).length;
     }
 
@@ -177,7 +177,7 @@
         if (member.leaving) {
             return "left";
         }
-        const { suspectBeats, failBeats } = this.options.times;
+        const { suspectHeartbeats: suspectBeats, failHeartbeats: failBeats } = this.options.times;
         const silentBeats = (this.options.clock.nowMs() - heardAtMs) / this.heartbeatMs;
         if (silentBeats < suspectBeats) {
             return "alive";
--- a/packages/fleet/src/part-search.ts
+++ b/packages/fleet/src/partition-recovery.ts
@@ -5,10 +5,10 @@
  */
 
 import type { Member } from "@harrierhitch/protocol";
+import type { DistributionRoles } from "./distribution-roles.js";
 import { isFullMesh } from "./links.js";
 import type { Members } from "./members.js";
 import type { PeerCalls } from "./peer-calls.js";
-import type { Roles } from "./roles.js";
 import type { Seeds } from "./seeds.js";
 
 /** A reader asks a seed again every so many beats, so that parts that were cut apart find each other: each has a reader. */
@@ -21,7 +21,7 @@
 export interface PartSearchOptions {
     readonly seeds: Seeds;
     readonly members: Members;
-    readonly roles: Roles;
+    readonly roles: DistributionRoles;
     readonly calls: PeerCalls;
     /** Told when a seed has answered. */
     readonly onHeard: () => void;
--- a/packages/fleet/src/peer-calls.ts
+++ b/packages/fleet/src/peer-calls.ts
@@ -7,11 +7,11 @@
 import { asError, type Clock } from "@harrierhitch/core";
 import { type Member, Role } from "@harrierhitch/protocol";
 import type { FleetTimes } from "@harrierhitch/published";
+import type { DistributionRoles } from "./distribution-roles.js";
 import type { ExchangeReason } from "./exchange-reason.js";
 import type { Exchange } from "./exchange.js";
 import type { Link } from "./links.js";
-import { callWithin, type PeerAddress, type PeerClients } from "./peer-clients.js";
-import type { Roles } from "./roles.js";
+import { callWithTimeout, type PeerAddress, type PeerClients } from "./peer-clients.js";
 
 /** Options of {@link PeerCalls}. */
 export interface PeerCallsOptions {
@@ -19,7 +19,7 @@
     readonly clients: PeerClients;
     readonly times: FleetTimes;
     readonly exchange: Exchange;
-    readonly roles: Roles;
+    readonly roles: DistributionRoles;
     /** Told of each exchange that is begun. */
     readonly onExchange: (reason: ExchangeReason) => void;
     /** Told of a call that failed. */
@@ -41,7 +41,7 @@
     /** Whether a source has answered lately that it knows no better than this instance. */
     get isSourceStale(): boolean {
         const { clock, times } = this.options;
-        return clock.nowMs() - this.toldStaleAtMs < times.staleMs;
+        return clock.nowMs() - this.toldStaleAtMs < times.staleAfterMs;
     }
 
     /**
@@ -64,7 +64,7 @@
             const client = clients.to(peer);
             const timeoutMs = times.callTimeoutMs + waitMs;
             const { instance, ageMs } = await exchange.with(
-                request => callWithin(clock, timeoutMs, signal => client.exchange(request, { signal })),
+                request => callWithTimeout(clock, timeoutMs, signal => client.exchange(request, { signal })),
                 { waitMs, role, receiver: peer.instance ?? "", isBrief: waitMs > 0 && this.isBriefTurn() },
             );
             roles.noteAnswered(instance);
--- a/packages/fleet/src/peer-clients.ts
+++ b/packages/fleet/src/peer-clients.ts
@@ -29,7 +29,7 @@
  * @param timeoutMs - Longest time.
  * @param call - The call, which must honour the signal.
  */
-export const callWithin = async <Response>(
+export const callWithTimeout = async <Response>(
     clock: Clock,
     timeoutMs: number,
     call: (signal: AbortSignal) => Promise<Response>,
--- a/packages/fleet/src/peer-service.ts
+++ b/packages/fleet/src/peer-service.ts
@@ -16,7 +16,7 @@
     readonly explain: (requestId: string) => Explanation | undefined;
     readonly status: () => InstanceStatus;
     /** Told of a caller that was refused. */
-    readonly onRefused: (reason: string) => void;
+    readonly onRejected: (reason: string) => void;
 }
 
 /** Most members and observations in one message. */
@@ -30,13 +30,13 @@
     const { fleet } = options;
     const admit = (fleetName: string): void => {
         if (fleetName !== options.fleetName) {
-            options.onRefused(`fleet ${fleetName.slice(0, 64)}`);
+            options.onRejected(`fleet ${fleetName.slice(0, 64)}`);
             throw new ConnectError("this instance belongs to another fleet", Code.PermissionDenied);
         }
     };
     const bounded = (isBounded: boolean, what: string): void => {
         if (!isBounded) {
-            options.onRefused(what);
+            options.onRejected(what);
             throw new ConnectError(`${what} is over the limit`, Code.InvalidArgument);
         }
     };
--- a/packages/fleet/src/sources.ts
+++ b/packages/fleet/src/select-distributors.ts
@@ -8,7 +8,7 @@
  * @packageDocumentation
  */
 
-import { rendezvous } from "@harrierhitch/core";
+import { rendezvousOrder } from "@harrierhitch/core";
 import type { Member } from "@harrierhitch/protocol";
 
 /**
@@ -34,11 +34,11 @@
  *
  * @param able - Members that live, answer and reach the platform.
  */
-export const readersOf = (able: readonly Member[]): readonly Member[] => {
+export const selectReaders = (able: readonly Member[]): readonly Member[] => {
     const count = able.length <= oneReaderSize
         ? 1
         : Math.max(minimumReaders, Math.ceil(able.length / (instancesPerRelay * relaysPerReader)));
-    return rendezvous("readers", able, idOf).slice(0, count);
+    return rendezvousOrder("readers", able, idOf).slice(0, count);
 };
 
 /**
@@ -48,10 +48,10 @@
  * @param able - Members that live and answer.
  * @param readers - The readers of the fleet.
  */
-export const relaysOf = (zone: string, able: readonly Member[], readers: readonly Member[]): readonly Member[] => {
+export const selectRelays = (zone: string, able: readonly Member[], readers: readonly Member[]): readonly Member[] => {
     const inside = able.filter(member => member.availabilityZone === zone);
     const isReader = (member: Member): boolean => readers.some(({ instance }) => instance === member.instance);
-    const others = rendezvous("relays", inside.filter(member => !isReader(member)), idOf);
+    const others = rendezvousOrder("relays", inside.filter(member => !isReader(member)), idOf);
     return [...inside.filter(isReader), ...others].slice(0, Math.ceil(inside.length / instancesPerRelay));
 };
 
--- a/packages/fleet/src/freshness.ts
+++ b/packages/fleet/src/staleness-tracker.ts
@@ -10,7 +10,7 @@
 export const tellShare = 0.6;
 
 /** Keeps the latest moment as of which nothing published is known to be missing here. */
-export class Freshness {
+export class StalenessTracker {
     private confirmedAtMs = -Infinity;
     private toldAtMs = -Infinity;
     private endedWaitsAtMs = -Infinity;
@@ -27,13 +27,13 @@
     constructor(private readonly clock: Clock, private readonly tellStepMs = 0, private readonly tellGapMs = 0) {}
 
     /** Milliseconds since that moment; infinite before the first confirmation. */
-    get ageMs(): number {
+    get stalenessMs(): number {
         return this.clock.nowMs() - this.confirmedAtMs;
     }
 
     /** The same; `undefined` before the first confirmation. */
-    get knownAgeMs(): number | undefined {
-        return Number.isFinite(this.ageMs) ? this.ageMs : undefined;
+    get confirmedStalenessMs(): number | undefined {
+        return Number.isFinite(this.stalenessMs) ? this.stalenessMs : undefined;
     }
 
     /**
--- a/packages/fleet/test/crash-spread.test.ts
+++ b/packages/fleet/test/crash-spread.test.ts
@@ -4,7 +4,7 @@
  */
 
 import { type RequestKey, requestKey } from "@harrierhitch/core";
-import type { EndedRun } from "@harrierhitch/decision";
+import type { CrashRecord } from "@harrierhitch/decision";
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import { FakeFleet, type FakeNode } from "./fake-fleet.js";
@@ -24,18 +24,18 @@
 
 /** An upstream ends under the request at one instance. */
 const end = (fleet: FakeFleet, node: FakeNode, number: number, key: RequestKey = bad): void => {
-    const run: EndedRun = {
+    const run: CrashRecord = {
         id: `${node.id}.${number}.1`,
         key,
         upstream: `u${number}`,
         endedAtMs: fleet.clock.nowMs(),
         endedAtUnixMs: Math.floor(fleet.clock.wallMs()),
         ranMs: 50,
-        isAnswered: false,
-        answeredAlike: 0,
+        hasSucceeded: false,
+        succeededMasks: 0,
     };
     node.crashes.merge([run]);
-    node.fleet.wakeLinks();
+    node.fleet.gossipNow();
 };
 
 /** Three upstreams end under it, at three instances. */
@@ -47,7 +47,7 @@
 };
 
 const whoSends = (fleet: FakeFleet): readonly string[] =>
-    fleet.running.filter(node => !node.crashes.isWithheld(bad)).map(({ id }) => id);
+    fleet.running.filter(node => !node.crashes.isQuarantined(bad)).map(({ id }) => id);
 
 describe("upstreams that ended under a request", () => {
     test("are known to all of 19 instances, over a network that loses and repeats", async () => {
--- a/packages/fleet/test/directory.test.ts
+++ b/packages/fleet/test/directory.test.ts
@@ -1,10 +1,10 @@
 import { FakeClock, upstreamId } from "@harrierhitch/core";
-import { type Listing, UpstreamDirectory } from "@harrierhitch/published";
+import { type DirectoryEntry, UpstreamDirectory } from "@harrierhitch/published";
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
-import { listedUpstream } from "./listed-upstream.js";
+import { discoveredUpstream } from "./discovered-upstream.js";
 
-const listing = (id: string, revision: number, text?: string): Listing => ({ upstream: upstreamId(id), revision, text });
+const listing = (id: string, revision: number, text?: string): DirectoryEntry => ({ upstream: upstreamId(id), revision, text });
 
 const names = ["a", "b", "c", "d", "e"];
 
@@ -17,27 +17,31 @@
         read: (id, text) =>
             text === "bad"
                 ? { value: undefined, findings: [{ file: id, section: "", key: "", line: undefined, message: "bad" }] }
-                : { value: listedUpstream(id, text), findings: [] },
-        doubtfulMs: () => doubt.doubtfulMs,
+                : { value: discoveredUpstream(id, text), findings: [] },
+        removalGraceMs: () => doubt.doubtfulMs,
         onChange: () => undefined,
-        onZone: () => undefined,
-        onDoubtEnded: () => undefined,
+        onZoneChange: () => undefined,
+        onRemovalConfirmed: () => undefined,
         onInvalid: id => invalid.push(id),
     });
-    directory.takeIn({
+    directory.merge({
         revision: 5,
-        whole: true,
-        listings: names.map((name, index) => listing(name, index + 1, "ready")),
+        isSnapshot: true,
+        entries: names.map((name, index) => listing(name, index + 1, "ready")),
         zones: [],
     });
-    const listed = (): string => directory.upstreams.map(({ id, leaving }) => leaving ? `${id} leaves` : id).join(", ");
+    const listed = (): string => directory.upstreams.map(({ id, draining: leaving }) => leaving ? `${id} leaves` : id).join(", ");
     return { clock, directory, listed, invalid };
 };
 
 interface Case {
     readonly name: string;
     readonly doubtfulMs?: number;
-    readonly news: readonly { readonly revision: number; readonly whole?: boolean; readonly listings: readonly Listing[]; }[];
+    readonly news: readonly {
+        readonly revision: number;
+        readonly whole?: boolean;
+        readonly listings: readonly DirectoryEntry[];
+    }[];
     readonly atOnce: string;
     readonly afterwards?: string;
 }
@@ -100,7 +104,9 @@
     cases.forEach(({ name, doubtfulMs = 0, news, atOnce, afterwards = atOnce }) => {
         test(name, async () => {
             const { clock, directory, listed } = open({ doubtfulMs });
-            news.forEach(({ revision, whole = false, listings }) => directory.takeIn({ revision, whole, listings, zones: [] }));
+            news.forEach(({ revision, whole = false, listings }) =>
+                directory.merge({ revision, isSnapshot: whole, entries: listings, zones: [] })
+            );
             assert.equal(listed(), atOnce);
             await clock.advance(1500);
             assert.equal(listed(), afterwards);
@@ -110,26 +116,26 @@
 
 test("a listing that cannot be read is told", () => {
     const { directory, invalid } = open({ doubtfulMs: 0 });
-    directory.takeIn({ revision: 6, whole: false, listings: [listing("a", 6, "bad")], zones: [] });
+    directory.merge({ revision: 6, isSnapshot: false, entries: [listing("a", 6, "bad")], zones: [] });
     assert.deepEqual(invalid, ["a"]);
 });
 
 test("what one directory passes on brings another one to the same state", async () => {
     const first = open({ doubtfulMs: 0 });
     const second = open({ doubtfulMs: 0 });
-    first.directory.takeIn({ revision: 7, whole: false, listings: [listing("a", 6), listing("f", 7, "ready")], zones: [] });
-    second.directory.takeIn(first.directory.newsAfter(second.directory.revision));
+    first.directory.merge({ revision: 7, isSnapshot: false, entries: [listing("a", 6), listing("f", 7, "ready")], zones: [] });
+    second.directory.merge(first.directory.updatesSince(second.directory.revision));
     assert.deepEqual([second.listed(), second.directory.revision], [first.listed(), 7]);
     const third = new UpstreamDirectory({
         clock: first.clock,
-        read: (id, text) => ({ value: listedUpstream(id, text), findings: [] }),
-        doubtfulMs: () => 0,
+        read: (id, text) => ({ value: discoveredUpstream(id, text), findings: [] }),
+        removalGraceMs: () => 0,
         onChange: () => undefined,
-        onZone: () => undefined,
-        onDoubtEnded: () => undefined,
+        onZoneChange: () => undefined,
+        onRemovalConfirmed: () => undefined,
         onInvalid: () => undefined,
     });
-    third.takeIn(first.directory.newsAfter(0));
+    third.merge(first.directory.updatesSince(0));
     assert.equal(third.upstreams.length, 5);
 });
 
@@ -137,9 +143,9 @@
     const doubt = { doubtfulMs: 700 };
     const first = open(doubt);
     const second = open({ doubtfulMs: 0 });
-    first.directory.takeIn({ revision: 6, whole: false, listings: [listing("a", 6)], zones: [] });
+    first.directory.merge({ revision: 6, isSnapshot: false, entries: [listing("a", 6)], zones: [] });
     await first.clock.advance(500);
-    second.directory.takeIn(first.directory.newsAfter(second.directory.revision));
+    second.directory.merge(first.directory.updatesSince(second.directory.revision));
     assert.equal(second.listed(), "a, b, c, d, e");
     await second.clock.advance(150);
     assert.equal(second.listed(), "a, b, c, d, e");
--- a/packages/fleet/test/listed-upstream.ts
+++ b/packages/fleet/test/discovered-upstream.ts
@@ -2,18 +2,18 @@
  * Listed upstreams for tests.
  */
 
-import type { ListedUpstream } from "@harrierhitch/configuration";
+import type { DiscoveredUpstream } from "@harrierhitch/configuration";
 import { serviceName, type UpstreamId } from "@harrierhitch/core";
 
 /** A listed upstream; its text is `ready` or `leaving`. */
-export const listedUpstream = (id: UpstreamId, text: string): ListedUpstream => ({
+export const discoveredUpstream = (id: UpstreamId, text: string): DiscoveredUpstream => ({
     id,
     service: serviceName("main"),
     address: "127.0.0.1",
     port: 9000,
     availabilityZone: "zone-0",
     slots: 3,
-    leaving: text === "leaving",
+    draining: text === "leaving",
     coldMs: 0,
     startedAtMs: 0,
 });
--- a/packages/fleet/test/rumors.test.ts
+++ b/packages/fleet/test/drain-gossip.test.ts
@@ -3,7 +3,7 @@
 import fc from "fast-check";
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
-import { Rumors } from "../src/index.js";
+import { DrainGossip } from "../src/index.js";
 import { FakeFleet } from "./fake-fleet.js";
 
 /** Links over which each instance of the model tells what is news to it. */
@@ -38,7 +38,7 @@
     const counts = { messages: 0, news: 0, lastNewsAtMs: 0 };
     const all = Array.from({ length: instances }, (_, index) => {
         const links = [1, ...Array.from({ length: linksEach - 1 }, () => 1 + Math.floor(random.next() * (instances - 1)))];
-        return { rumors: new Rumors({ clock }), links: links.map(step => (index + step) % instances), isDue: false };
+        return { rumors: new DrainGossip({ clock }), links: links.map(step => (index + step) % instances), isDue: false };
     });
     const deliver = (to: number, observations: readonly Observation[]): void => {
         if ((all[to]?.rumors.merge(observations).length ?? 0) > 0) {
@@ -61,7 +61,7 @@
         node.isDue = true;
         clock.after(gapMs, () => {
             node.isDue = false;
-            const observations = node.rumors.news();
+            const observations = node.rumors.pending();
             node.links.forEach(to => {
                 send(to, observations);
                 if (random.next() < repeatShare) {
@@ -72,12 +72,12 @@
     };
     Array.from({ length: observers }, (_, index) =>
         clock.after(index * 7, () => {
-            if (all[index]!.rumors.learn("u1", 5)) {
+            if (all[index]!.rumors.record("u1", 5)) {
                 tell(index);
             }
         }));
     await clock.advance(120_000);
-    const knowing = all.filter(({ rumors }) => !rumors.learn("u1", 5)).length;
+    const knowing = all.filter(({ rumors }) => !rumors.record("u1", 5)).length;
     return { ...counts, knowing };
 };
 
@@ -127,20 +127,20 @@
                 const random = new SeededRandom(seed + 1);
                 const clock = new FakeClock();
                 const observations = list.flatMap(({ upstream, start }) => {
-                    const source = new Rumors({ clock });
-                    source.learn(upstream, start);
-                    return source.news();
+                    const source = new DrainGossip({ clock });
+                    source.record(upstream, start);
+                    return source.pending();
                 });
                 const shuffled = [...observations, ...observations]
                     .map(observation => ({ observation, draw: random.next() }))
                     .sort((a, b) => a.draw - b.draw)
                     .map(({ observation }) => observation);
-                const inOrder = new Rumors({ clock });
-                const inDisorder = new Rumors({ clock });
+                const inOrder = new DrainGossip({ clock });
+                const inDisorder = new DrainGossip({ clock });
                 inOrder.merge(observations);
                 shuffled.forEach(observation => inDisorder.merge([observation]));
-                const stateOf = (rumors: Rumors) =>
-                    rumors.news().map(({ upstream, startedAtMs }) => `${upstream} ${startedAtMs}`).sort();
+                const stateOf = (rumors: DrainGossip) =>
+                    rumors.pending().map(({ upstream, startedAtMs }) => `${upstream} ${startedAtMs}`).sort();
                 assert.deepEqual(stateOf(inDisorder), stateOf(inOrder));
             }),
             { seed: 4, numRuns: 200 },
@@ -149,13 +149,13 @@
 
     test("is told for a while only, and one that comes back late from a slow way is no news", async () => {
         const clock = new FakeClock();
-        const rumors = new Rumors({ clock });
-        const other = new Rumors({ clock });
-        other.learn("u1", 1);
-        const told = other.news();
+        const rumors = new DrainGossip({ clock });
+        const other = new DrainGossip({ clock });
+        other.record("u1", 1);
+        const told = other.pending();
         rumors.merge(told);
         await clock.advance(10_001);
-        assert.deepEqual(rumors.news(), []);
+        assert.deepEqual(rumors.pending(), []);
         assert.deepEqual(rumors.merge(told), []);
     });
 });
@@ -173,11 +173,11 @@
     ids.forEach(id => fleet.start(id, ids.slice(0, 3)));
     await fleet.clock.advance(10_000);
     const quiet = await messagesIn(fleet, 5000);
-    ids.slice(0, 5).forEach(id => fleet.node(id).fleet.tellLeaving("main-1", 1));
+    ids.slice(0, 5).forEach(id => fleet.node(id).fleet.announceDraining("main-1", 1));
     await fleet.clock.advance(1500);
     const afterwards = await messagesIn(fleet, 5000);
     assert.ok(afterwards <= quiet * 1.2, `${afterwards} messages, ${quiet} before`);
-    const known = fleet.running.filter(node => node.fleet.rumors.news().length === 1);
+    const known = fleet.running.filter(node => node.fleet.drainGossip.pending().length === 1);
     assert.equal(known.length, 18);
 });
 
@@ -187,7 +187,7 @@
     await fleet.clock.advance(8000);
     const before = fleet.messages;
     for (let passedMs = 0; passedMs < 3000; passedMs += 5) {
-        fleet.node("n0").fleet.wakeLinks();
+        fleet.node("n0").fleet.gossipNow();
         await fleet.clock.advance(5);
     }
     // Two links, each with a task for questions and one for news that are urgent, and the answers that these end.
@@ -212,7 +212,7 @@
             const before = fleet.messages;
             const cutOff = ids.filter(() => fleet.random.next() < cutShare);
             fleet.split(cutOff, ids.filter(id => !cutOff.includes(id)));
-            ids.slice(0, observers).forEach(id => fleet.node(id).fleet.tellLeaving("main-1", 1));
+            ids.slice(0, observers).forEach(id => fleet.node(id).fleet.announceDraining("main-1", 1));
             await fleet.clock.advance(300);
             ids.filter(() => fleet.random.next() < cutShare / 4).forEach(id => fleet.start(id, ids.slice(0, 3)));
             await fleet.clock.advance(1700);
@@ -220,7 +220,9 @@
             await fleet.clock.advance(6000);
             const during = fleet.messages - before;
             assert.ok(during <= quiet * 2 + size * 8, `${during} messages in 8 s with it, ${quiet} without`);
-            const unaware = fleet.running.filter(node => !node.fleet.rumors.news().some(({ upstream }) => upstream === "main-1"));
+            const unaware = fleet.running.filter(node =>
+                !node.fleet.drainGossip.pending().some(({ upstream }) => upstream === "main-1")
+            );
             // Whom a cut kept from hearing it hears it from the upstream itself, or from the platform.
             assert.ok(cutShare > 0 || unaware.length === 0, `${unaware.length} do not know it`);
             const afterwards = await messagesIn(fleet, 8000);
--- a/packages/fleet/test/fake-fleet.ts
+++ b/packages/fleet/test/fake-fleet.ts
@@ -6,11 +6,11 @@
 import { fromBinary, toBinary } from "@bufbuild/protobuf";
 import type { Client } from "@connectrpc/connect";
 import { FakeClock, instanceId, SeededRandom } from "@harrierhitch/core";
-import { CrashLedger, UpstreamLimits } from "@harrierhitch/decision";
+import { CrashHistory, UpstreamLimits } from "@harrierhitch/decision";
 import { PeerService } from "@harrierhitch/protocol";
-import { AcceptedConfiguration, type OfferResult, UpstreamDirectory } from "@harrierhitch/published";
-import { Fleet, type HeardRumor, type PeerAddress, peerService } from "../src/index.js";
-import { listedUpstream } from "./listed-upstream.js";
+import { ActiveConfiguration, type ApplyResult, UpstreamDirectory } from "@harrierhitch/published";
+import { type DrainMessage, Fleet, type PeerAddress, peerService } from "../src/index.js";
+import { discoveredUpstream } from "./discovered-upstream.js";
 
 /** Faults of the network. */
 export interface NetworkFaults {
@@ -24,14 +24,14 @@
     readonly id: string;
     readonly incarnation: number;
     readonly fleet: Fleet;
-    readonly accepted: AcceptedConfiguration;
+    readonly accepted: ActiveConfiguration;
     readonly directory: UpstreamDirectory;
-    readonly crashes: CrashLedger;
+    readonly crashes: CrashHistory;
     readonly limits: UpstreamLimits;
     /** Generations in force, in their order. */
     readonly generations: number[];
-    readonly heard: HeardRumor[];
-    offer(text: string): OfferResult;
+    readonly heard: DrainMessage[];
+    offer(text: string): ApplyResult;
 }
 
 type Implementation = ReturnType<typeof peerService>;
@@ -76,25 +76,25 @@
     start(id: string, seeds: readonly string[]): FakeNode {
         this.kill(id);
         const incarnation = Math.floor(this.clock.nowMs()) + 1 + Math.floor(this.random.next() * 1000);
-        const accepted = new AcceptedConfiguration();
+        const accepted = new ActiveConfiguration();
         const directory = new UpstreamDirectory({
             clock: this.clock,
-            read: (upstream, text) => ({ value: listedUpstream(upstream, text), findings: [] }),
-            doubtfulMs: () => 0,
+            read: (upstream, text) => ({ value: discoveredUpstream(upstream, text), findings: [] }),
+            removalGraceMs: () => 0,
             onChange: () => undefined,
-            onZone: () => undefined,
-            onDoubtEnded: () => undefined,
+            onZoneChange: () => undefined,
+            onRemovalConfirmed: () => undefined,
             onInvalid: () => undefined,
         });
-        const crashes = new CrashLedger({ clock: this.clock });
+        const crashes = new CrashHistory({ clock: this.clock });
         const limits = new UpstreamLimits({ clock: this.clock, instance: id });
         const generations: number[] = [];
-        const heard: HeardRumor[] = [];
-        const offer = (text: string): OfferResult => {
-            const result = accepted.offer("test", text);
+        const heard: DrainMessage[] = [];
+        const offer = (text: string): ApplyResult => {
+            const result = accepted.apply("test", text);
             if (result.type === "accepted") {
                 generations.push(result.configuration.generation);
-                fleet.wakeLinks();
+                fleet.gossipNow();
             }
             return result;
         };
@@ -108,16 +108,16 @@
             address: "127.0.0.1",
             port: portOf(id),
             clients: { to: peer => this.clientFrom(id, peer), close: () => undefined },
-            accepted,
+            activeConfiguration: accepted,
             directory,
             crashes,
             limits,
             seeds: seeds.map(seed => ({ address: "127.0.0.1", port: portOf(seed) })),
             onConfiguration: (_, text) => void offer(text),
             onDirectory: () => undefined,
-            onRumor: rumor => heard.push(rumor),
+            onDrainMessage: rumor => heard.push(rumor),
             onSizeChange: () => undefined,
-            onSourceLost: () => undefined,
+            onDistributorLost: () => undefined,
             onExchange: () => undefined,
             onLimited: () => undefined,
             onUnreachable: () => undefined,
@@ -133,7 +133,7 @@
                 fleet,
                 explain: never,
                 status: never,
-                onRefused: () => undefined,
+                onRejected: () => undefined,
             }),
         );
         this.nodes.set(id, node);
--- a/packages/fleet/test/fleet.test.ts
+++ b/packages/fleet/test/fleet.test.ts
@@ -39,11 +39,13 @@
 
 test("an observation of one instance is known to all 18 within 2 s, and one of an earlier start never undoes it", async () => {
     const fleet = await startFleet(18);
-    fleet.node("n9").fleet.tellLeaving("main-1", 2000);
+    fleet.node("n9").fleet.announceDraining("main-1", 2000);
     await fleet.clock.advance(100);
-    fleet.node("n4").fleet.tellLeaving("main-1", 1000);
+    fleet.node("n4").fleet.announceDraining("main-1", 1000);
     await fleet.clock.advance(2000);
-    const starts = fleet.running.map(node => node.fleet.rumors.news().find(rumor => rumor.upstream === "main-1")?.startedAtMs);
+    const starts = fleet.running.map(node =>
+        node.fleet.drainGossip.pending().find(rumor => rumor.upstream === "main-1")?.startedAtMs
+    );
     assert.deepEqual(starts, ids(18).map(() => 2000n));
 });
 
@@ -55,23 +57,23 @@
         text,
     });
     const reader = fleet.node("n5");
-    reader.directory.takeIn({
+    reader.directory.merge({
         revision: 3,
-        whole: true,
-        listings: [listing("a", 1, "ready"), listing("b", 2, "ready")],
+        isSnapshot: true,
+        entries: [listing("a", 1, "ready"), listing("b", 2, "ready")],
         zones: [],
     });
-    reader.fleet.wakeLinks();
+    reader.fleet.gossipNow();
     await fleet.clock.advance(2000);
-    reader.directory.takeIn({
+    reader.directory.merge({
         revision: 6,
-        whole: false,
-        listings: [listing("a", 5, "leaving"), listing("b", 6, undefined)],
+        isSnapshot: false,
+        entries: [listing("a", 5, "leaving"), listing("b", 6, undefined)],
         zones: [],
     });
-    reader.fleet.wakeLinks();
+    reader.fleet.gossipNow();
     await fleet.clock.advance(2000);
-    const known = fleet.running.map(node => node.directory.upstreams.map(({ id, leaving }) => [id, leaving]));
+    const known = fleet.running.map(node => node.directory.upstreams.map(({ id, draining: leaving }) => [id, leaving]));
     assert.deepEqual(known, ids(18).map(() => [["a", true]]));
 });
 
@@ -80,7 +82,7 @@
     fleet.node("n0").offer(configurationText(9));
     await fleet.clock.advance(2000);
     const node = fleet.start("n3", seedsOf(6));
-    const heard = node.fleet.hearOthers(2000);
+    const heard = node.fleet.contactPeers(2000);
     await fleet.clock.advance(2000);
     assert.deepEqual([await heard, node.generations.at(-1)], [true, 9]);
 });
@@ -88,7 +90,7 @@
 test("an instance that hears nobody says so", async () => {
     const fleet = await startFleet(3);
     fleet.split(["n0"], ["n1", "n2"]);
-    const heard = fleet.start("n0", seedsOf(3)).fleet.hearOthers(2000);
+    const heard = fleet.start("n0", seedsOf(3)).fleet.contactPeers(2000);
     await fleet.clock.advance(3000);
     assert.equal(await heard, false);
 });
@@ -98,7 +100,7 @@
     fleet.node("n0").offer(configurationText(4, "one"));
     fleet.node("n5").offer(configurationText(4, "other"));
     await fleet.clock.advance(4000);
-    assert.equal(new Set(fleet.running.map(node => node.accepted.inForce?.configuration.hash)).size, 1);
+    assert.equal(new Set(fleet.running.map(node => node.accepted.current?.configuration.hash)).size, 1);
 });
 
 test("an older generation, an invalid and a garbled document change nothing", async () => {
@@ -147,7 +149,7 @@
     before.forEach(node => fleet.kill(node.id));
     await fleet.clock.advance(8000);
     assert.ok(readers().length >= 2);
-    readers().forEach(node => node.fleet.members.tell({ platformReachable: false }));
+    readers().forEach(node => node.fleet.members.updateSelf({ platformReachable: false }));
     await fleet.clock.advance(4000);
     assert.ok(readers().some(node => node.fleet.members.self.platformReachable));
 });
@@ -155,14 +157,14 @@
 test("an instance that slept does not take the others for dead", async () => {
     const fleet = await startFleet(3);
     fleet.clock.pause(20_000);
-    fleet.node("n0").fleet.wakeLate(20_000);
+    fleet.node("n0").fleet.resumeAfterStall(20_000);
     assert.deepEqual(["n1", "n2"].map(id => fleet.node("n0").fleet.members.stateOf(id)), ["alive", "alive"]);
 });
 
 test("instances that wake a little late many times a second ask nobody for it", async () => {
     const fleet = await startFleet(12);
     const quiet = await messagesIn(fleet, 3000, () => undefined);
-    const late = await messagesIn(fleet, 3000, () => fleet.running.forEach(node => node.fleet.wakeLate(110)));
+    const late = await messagesIn(fleet, 3000, () => fleet.running.forEach(node => node.fleet.resumeAfterStall(110)));
     assert.ok(late < quiet * 1.3, `${late} messages, ${quiet} before`);
 });
 
@@ -170,7 +172,7 @@
     const fleet = new FakeFleet(5, { maximumDelayMs: 140, dropShare: 0, repeatShare: 0 });
     ids(12).forEach(id => fleet.start(id, seedsOf(12)));
     const confirm = (): void => {
-        fleet.running.filter(node => node.fleet.roles.isReader).forEach(node => node.fleet.freshness.confirm(0));
+        fleet.running.filter(node => node.fleet.roles.isReader).forEach(node => node.fleet.stalenessTracker.confirm(0));
         fleet.clock.after(1000, confirm);
     };
     confirm();
--- a/packages/fleet/test/limits-spread.test.ts
+++ b/packages/fleet/test/limits-spread.test.ts
@@ -22,8 +22,8 @@
 
 const hear = (fleet: FakeFleet, name: string, perSecond: number | undefined): void => {
     const { limits, fleet: part } = fleet.node(name);
-    if (limits.hear(start, perSecond, fleet.clock.nowMs())) {
-        part.wakeLinks();
+    if (limits.record(start, perSecond, fleet.clock.nowMs())) {
+        part.gossipNow();
     }
 };
 
--- a/packages/fleet/test/chosen-members.test.ts
+++ b/packages/fleet/test/member-assignment.test.ts
@@ -4,7 +4,7 @@
 import { defaultFleetTimes } from "@harrierhitch/published";
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
-import { ChosenMembers } from "../src/chosen-members.js";
+import { MemberAssignment } from "../src/member-assignment.js";
 import { Members } from "../src/members.js";
 
 const settleMs = 2500;
@@ -16,14 +16,14 @@
     const clock = new FakeClock();
     const members = new Members({ clock, self: memberOf(self), times: defaultFleetTimes });
     members.merge(known.map(memberOf), "other");
-    const chosen = new ChosenMembers({ clock, members, joinedAtMs: 0, settleMs });
+    const chosen = new MemberAssignment({ clock, members, joinedAtMs: 0, settleMs });
     await clock.advance(afterMs);
     return { chosen, members };
 };
 
 /** What some instance finds that knows these members. */
 const sharersOf = async (self: number, known: readonly number[], upstream: string, afterMs = settleMs): Promise<number> =>
-    (await open(self, known, afterMs)).chosen.sharersOf(upstream);
+    (await open(self, known, afterMs)).chosen.participantsOf(upstream);
 
 const range = (count: number): readonly number[] => Array.from({ length: count }, (_, index) => index);
 
@@ -61,8 +61,8 @@
                     range(size).map(async self => (await open(self, range(size))).chosen.limitShare("u1", wanted)),
                 );
                 const sharers = Math.min(wanted, size);
-                assert.equal(shares.filter(({ isSharer }) => isSharer).length, sharers);
-                assert.ok(shares.every(share => share.sharers === sharers && share.members === size));
+                assert.equal(shares.filter(({ isParticipant: isSharer }) => isSharer).length, sharers);
+                assert.ok(shares.every(share => share.participants === sharers && share.members === size));
             });
         })
     );
@@ -71,17 +71,17 @@
         const lonely = await open(0, []);
         assert.deepEqual(lonely.chosen.limitShare("u1", 9), { isSharer: false, sharers: 2, members: 2 });
         const early = await open(0, range(3), settleMs - 1);
-        assert.equal(early.chosen.limitShare("u1", 9).isSharer, false);
+        assert.equal(early.chosen.limitShare("u1", 9).isParticipant, false);
         const leaving = await open(0, range(3));
-        assert.equal(leaving.chosen.limitShare("u1", 9).isSharer, true);
-        leaving.members.tell({ leaving: true });
-        assert.equal(leaving.chosen.limitShare("u1", 9).isSharer, false);
+        assert.equal(leaving.chosen.limitShare("u1", 9).isParticipant, true);
+        leaving.members.updateSelf({ leaving: true });
+        assert.equal(leaving.chosen.limitShare("u1", 9).isParticipant, false);
     });
 
     test("others count that become known later", async () => {
         const { chosen, members } = await open(0, range(3));
-        assert.equal(chosen.limitShare("u1", 9).sharers, 3);
+        assert.equal(chosen.limitShare("u1", 9).participants, 3);
         members.merge(range(8).map(memberOf), "other");
-        assert.equal(chosen.limitShare("u1", 9).sharers, 8);
+        assert.equal(chosen.limitShare("u1", 9).participants, 8);
     });
 });
--- a/packages/fleet/test/sources.test.ts
+++ b/packages/fleet/test/select-distributors.test.ts
@@ -2,7 +2,7 @@
 import { type Member, MemberSchema } from "@harrierhitch/protocol";
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
-import { readersOf, relaysOf } from "../src/index.js";
+import { selectReaders, selectRelays } from "../src/index.js";
 import { FakeFleet, type FakeNode } from "./fake-fleet.js";
 
 const members = (count: number, zone: string): readonly Member[] =>
@@ -10,23 +10,23 @@
 
 test("a fleet has two readers, more only from many hundreds of instances on, and a tiny one has one", () => {
     const sizes = [1, 6, 7, 18, 312, 852, 12_000];
-    assert.deepEqual(sizes.map(size => readersOf(members(size, "a")).length), [1, 1, 2, 2, 2, 2, 16]);
+    assert.deepEqual(sizes.map(size => selectReaders(members(size, "a")).length), [1, 1, 2, 2, 2, 2, 16]);
 });
 
 test("each availability zone has relays of its own, one for every 12 instances, its readers first", () => {
     const all = [...members(3, "a"), ...members(49, "b")];
     const readers = [all[1]!, all[30]!];
-    assert.deepEqual(relaysOf("a", all, readers), [all[1]]);
-    const relays = relaysOf("b", all, readers);
+    assert.deepEqual(selectRelays("a", all, readers), [all[1]]);
+    const relays = selectRelays("b", all, readers);
     assert.deepEqual([relays.length, relays[0]], [5, all[30]]);
     assert.ok(relays.every(({ availabilityZone }) => availabilityZone === "b"));
-    assert.deepEqual(relaysOf("c", all, readers), []);
+    assert.deepEqual(selectRelays("c", all, readers), []);
 });
 
 test("a reader that is gone moves only its own place", () => {
     const all = members(100, "a");
-    const [first, ...others] = readersOf(all);
-    const after = readersOf(all.filter(member => member !== first));
+    const [first, ...others] = selectReaders(all);
+    const after = selectReaders(all.filter(member => member !== first));
     assert.ok(others.every(reader => after.includes(reader)));
 });
 
@@ -40,7 +40,7 @@
     const blind = new Set<string>();
     const confirm = (): void => {
         fleet.running.filter(({ id, fleet: own }) => own.roles.isReader && !blind.has(id)).forEach(node =>
-            node.fleet.freshness.confirm(0)
+            node.fleet.stalenessTracker.confirm(0)
         );
         fleet.clock.after(1000, confirm);
     };
@@ -54,7 +54,7 @@
 const readersAmong = (fleet: FakeFleet): readonly FakeNode[] => fleet.running.filter(node => node.fleet.roles.isReader);
 
 const staleAmong = (fleet: FakeFleet): readonly string[] =>
-    fleet.running.filter(node => node.fleet.freshness.ageMs > staleMs).map(({ id }) => id);
+    fleet.running.filter(node => node.fleet.stalenessTracker.stalenessMs > staleMs).map(({ id }) => id);
 
 describe("what a reader hears is known to all instances", () => {
     test("while all is well", async () => {
@@ -91,7 +91,7 @@
         const { fleet, blind } = await start();
         fleet.running.forEach(node => blind.add(node.id));
         await fleet.clock.advance(2600);
-        assert.ok(fleet.running.every(node => node.fleet.freshness.ageMs > staleMs));
+        assert.ok(fleet.running.every(node => node.fleet.stalenessTracker.stalenessMs > staleMs));
     });
 
     test("only if they lack nothing of what it knows", async () => {
@@ -100,8 +100,8 @@
         fleet.running.filter(node => node !== reader).forEach(({ id }) => blind.add(id));
         const follower = fleet.running.find(node => !node.fleet.roles.isReader)!;
         fleet.running.forEach(({ id }) => fleet.cut(reader!.id, id));
-        reader!.directory.takeIn({ revision: 5, whole: true, listings: [], zones: [] });
+        reader!.directory.merge({ revision: 5, isSnapshot: true, entries: [], zones: [] });
         await fleet.clock.advance(2600);
-        assert.ok(follower.fleet.freshness.ageMs > staleMs || follower.directory.revision === 5);
+        assert.ok(follower.fleet.stalenessTracker.stalenessMs > staleMs || follower.directory.revision === 5);
     });
 });
--- a/packages/fleet/test/zones.test.ts
+++ b/packages/fleet/test/zones.test.ts
@@ -1,17 +1,23 @@
 import { FakeClock, SeededRandom, upstreamId } from "@harrierhitch/core";
-import { type DirectoryNews, type Listing, UpstreamDirectory, type ZoneListing, ZoneListings } from "@harrierhitch/published";
+import {
+    type DirectoryEntry,
+    type DirectoryUpdate,
+    UpstreamDirectory,
+    type ZoneStatus,
+    ZoneStatusTable,
+} from "@harrierhitch/published";
 import fc from "fast-check";
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
+import { discoveredUpstream } from "./discovered-upstream.js";
 import { FakeFleet } from "./fake-fleet.js";
-import { listedUpstream } from "./listed-upstream.js";
 
-const out = (availabilityZone: string, revision: number): ZoneListing => ({ availabilityZone, revision, isOut: true });
-const back = (availabilityZone: string, revision: number): ZoneListing => ({ availabilityZone, revision, isOut: false });
+const out = (availabilityZone: string, revision: number): ZoneStatus => ({ availabilityZone, revision, isOut: true });
+const back = (availabilityZone: string, revision: number): ZoneStatus => ({ availabilityZone, revision, isOut: false });
 
 interface Case {
     readonly name: string;
-    readonly news: readonly { readonly revision: number; readonly whole?: boolean; readonly zones: readonly ZoneListing[]; }[];
+    readonly news: readonly { readonly revision: number; readonly whole?: boolean; readonly zones: readonly ZoneStatus[]; }[];
     readonly out: string;
 }
 
@@ -52,12 +58,12 @@
 describe("an availability zone is out of service as it should be if", () => {
     cases.forEach(({ name, news, out: expected }) => {
         test(name, () => {
-            const zones = new ZoneListings();
+            const zones = new ZoneStatusTable();
             news.reduce((known, { revision, whole = false, zones: told }) => {
-                zones.takeIn({ revision, whole, zones: told }, known);
+                zones.merge({ revision, isSnapshot: whole, zones: told }, known);
                 return Math.max(known, revision);
             }, 0);
-            assert.equal([...zones.out].sort().join(" "), expected);
+            assert.equal([...zones.outOfService].sort().join(" "), expected);
         });
     });
 
@@ -72,12 +78,14 @@
                 const told = list.map(({ zone, isOut }, index) => ({ availabilityZone: zone, revision: index + 1, isOut }));
                 const shuffled = [...told, ...told].map(change => ({ change, draw: random.next() }))
                     .sort((a, b) => a.draw - b.draw);
-                const zones = new ZoneListings();
-                shuffled.forEach(({ change }) => zones.takeIn({ revision: change.revision, whole: false, zones: [change] }, 0));
+                const zones = new ZoneStatusTable();
+                shuffled.forEach(({ change }) =>
+                    zones.merge({ revision: change.revision, isSnapshot: false, zones: [change] }, 0)
+                );
                 const last = ["a", "b", "c"].filter(zone =>
                     told.findLast(({ availabilityZone }) => availabilityZone === zone)?.isOut === true
                 );
-                assert.deepEqual([...zones.out].sort(), last);
+                assert.deepEqual([...zones.outOfService].sort(), last);
             }),
             { seed: 5, numRuns: 300 },
         );
@@ -87,41 +95,45 @@
 const openDirectory = (): UpstreamDirectory =>
     new UpstreamDirectory({
         clock: new FakeClock(),
-        read: (id, text) => ({ value: { ...listedUpstream(id, "ready"), availabilityZone: text }, findings: [] }),
-        doubtfulMs: () => 0,
+        read: (id, text) => ({ value: { ...discoveredUpstream(id, "ready"), availabilityZone: text }, findings: [] }),
+        removalGraceMs: () => 0,
         onChange: () => undefined,
-        onZone: () => undefined,
-        onDoubtEnded: () => undefined,
+        onZoneChange: () => undefined,
+        onRemovalConfirmed: () => undefined,
         onInvalid: () => undefined,
     });
 
-const listing = (id: string, revision: number, zone: string): Listing => ({ upstream: upstreamId(id), revision, text: zone });
+const listing = (id: string, revision: number, zone: string): DirectoryEntry => ({
+    upstream: upstreamId(id),
+    revision,
+    text: zone,
+});
 
 test("upstreams of a zone that is out are listed, but not in service, until it is back", () => {
     const directory = openDirectory();
-    const inService = (): string => directory.inService.map(({ id }) => id).join(" ");
-    const news = (revision: number, zones: readonly ZoneListing[]): DirectoryNews => ({
+    const inService = (): string => directory.upstreamsInService.map(({ id }) => id).join(" ");
+    const news = (revision: number, zones: readonly ZoneStatus[]): DirectoryUpdate => ({
         revision,
-        whole: false,
-        listings: [],
+        isSnapshot: false,
+        entries: [],
         zones,
     });
-    directory.takeIn({ ...news(3, []), whole: true, listings: [listing("u1", 1, "a"), listing("u2", 2, "b")] });
-    directory.takeIn(news(4, [out("a", 4)]));
+    directory.merge({ ...news(3, []), isSnapshot: true, entries: [listing("u1", 1, "a"), listing("u2", 2, "b")] });
+    directory.merge(news(4, [out("a", 4)]));
     assert.deepEqual([inService(), directory.upstreams.length], ["u2", 2]);
-    directory.takeIn(news(5, [back("a", 5)]));
+    directory.merge(news(5, [back("a", 5)]));
     assert.equal(inService(), "u1 u2");
 });
 
 test("what one directory passes on of zones, whole or as changes, brings another one to the same state", () => {
     const [first, second, third] = [openDirectory(), openDirectory(), openDirectory()];
-    const take = (directory: UpstreamDirectory, news: DirectoryNews): void => directory.takeIn(news);
-    take(first, { revision: 3, whole: true, listings: [listing("u1", 1, "a")], zones: [out("a", 2)] });
-    take(second, first.newsAfter(0));
-    take(first, { revision: 6, whole: false, listings: [], zones: [back("a", 5), out("b", 6)] });
-    take(second, first.newsAfter(second.revision));
-    take(third, first.newsAfter(0));
-    assert.deepEqual([second.zonesOut, third.zonesOut], [["b"], ["b"]]);
+    const take = (directory: UpstreamDirectory, news: DirectoryUpdate): void => directory.merge(news);
+    take(first, { revision: 3, isSnapshot: true, entries: [listing("u1", 1, "a")], zones: [out("a", 2)] });
+    take(second, first.updatesSince(0));
+    take(first, { revision: 6, isSnapshot: false, entries: [], zones: [back("a", 5), out("b", 6)] });
+    take(second, first.updatesSince(second.revision));
+    take(third, first.updatesSince(0));
+    assert.deepEqual([second.zonesOutOfService, third.zonesOutOfService], [["b"], ["b"]]);
 });
 
 test("a zone that one reader sees go is out at 95 instances within a second, and so is its return", async () => {
@@ -130,11 +142,11 @@
     ids.forEach(id => fleet.start(id, ids.slice(0, 3)));
     await fleet.clock.advance(12_000);
     const reader = fleet.running.find(node => node.fleet.roles.isReader)!;
-    const tell = async (zone: ZoneListing): Promise<number> => {
-        reader.directory.takeIn({ revision: zone.revision, whole: false, listings: [], zones: [zone] });
-        reader.fleet.wakeLinks();
+    const tell = async (zone: ZoneStatus): Promise<number> => {
+        reader.directory.merge({ revision: zone.revision, isSnapshot: false, entries: [], zones: [zone] });
+        reader.fleet.gossipNow();
         await fleet.clock.advance(1000);
-        return fleet.running.filter(node => node.directory.zonesOut.includes("zone-1") === zone.isOut).length;
+        return fleet.running.filter(node => node.directory.zonesOutOfService.includes("zone-1") === zone.isOut).length;
     };
     assert.equal(await tell(out("zone-1", 4)), 95);
     assert.equal(await tell(back("zone-1", 5)), 95);
--- a/packages/published/src/accepted-configuration.ts
+++ b/packages/published/src/active-configuration.ts
@@ -4,11 +4,11 @@
  * @packageDocumentation
  */
 
-import { checkConfiguration, type Checked, type Configuration } from "@harrierhitch/configuration";
-import type { OfferResult } from "./offer-result.js";
+import { checkConfiguration, type CheckResult, type Configuration } from "@harrierhitch/configuration";
+import type { ApplyResult } from "./apply-result.js";
 
 /** A configuration in force, with the document it was made from. */
-export interface ConfigurationInForce {
+export interface LoadedConfiguration {
     readonly configuration: Configuration;
     readonly text: string;
 }
@@ -19,14 +19,14 @@
  * Two contents under one generation are settled alike on every instance: the
  * one with the lower hash wins, in whatever order they arrive.
  */
-export class AcceptedConfiguration {
-    private held: ConfigurationInForce | undefined;
+export class ActiveConfiguration {
+    private held: LoadedConfiguration | undefined;
 
     /** @param check - Reads and checks a document; the product's own syntax without one. */
-    constructor(private readonly check: (file: string, text: string) => Checked<Configuration> = checkConfiguration) {}
+    constructor(private readonly check: (file: string, text: string) => CheckResult<Configuration> = checkConfiguration) {}
 
     /** The configuration in force; `undefined` before the first was accepted. */
-    get inForce(): ConfigurationInForce | undefined {
+    get current(): LoadedConfiguration | undefined {
         return this.held;
     }
 
@@ -37,7 +37,7 @@
      * @param text - The document.
      * @returns What became of it.
      */
-    offer(file: string, text: string): OfferResult {
+    apply(file: string, text: string): ApplyResult {
         if (text === this.held?.text) {
             return { type: "same" };
         }
--- a/packages/published/src/offer-result.ts
+++ b/packages/published/src/apply-result.ts
@@ -15,7 +15,7 @@
  * - `conflict`: same generation as the one in force but other content, and it lost.
  * - `invalid`: it does not pass the checks.
  */
-export type OfferResult =
+export type ApplyResult =
     | { readonly type: "accepted"; readonly configuration: Configuration; readonly conflict: boolean; }
     | { readonly type: "same"; }
     | { readonly type: "older"; readonly configuration: Configuration; }
--- a/packages/published/src/fleet-times.ts
+++ b/packages/published/src/fleet-times.ts
@@ -7,27 +7,27 @@
 /** Times and bounds of a fleet; docs/FLEET.md says how they were found. */
 export interface FleetTimes {
     /** Time between two exchanges over one link without news. */
-    readonly exchangeMs: number;
+    readonly exchangeIntervalMs: number;
     /** The same for a link that serves news, and finding parts that were cut apart, in a fleet of {@link quietFleetSize}. */
-    readonly quietMs: number;
+    readonly quietIntervalMs: number;
     /** Time after which a reader's watch of the platform ends without a change, and so confirms that nothing is missing. */
     readonly confirmMs: number;
     /** Longest time for which an answer to whoever relies on it is kept back: a little longer than that. */
-    readonly askMs: number;
+    readonly longPollMs: number;
     /** Shortest time between two calls to the platform, so that changes that come together cost one call. */
     readonly batchMs: number;
     /** Longest time for one call. */
     readonly callTimeoutMs: number;
     /** Heartbeats that have to be missing before a member is suspect. */
-    readonly suspectBeats: number;
+    readonly suspectHeartbeats: number;
     /** Heartbeats that have to be missing before a member is failed. */
-    readonly failBeats: number;
+    readonly failHeartbeats: number;
     /** Time for which a member that did not answer is passed over, the first time; each further time in a row doubles it. */
-    readonly avoidMs: number;
+    readonly peerBackoffMs: number;
     /** Time after joining for which an instance that is no seed leaves reading to others: until it knows them. */
     readonly settleMs: number;
     /** Age of what is known from which an instance asks the platform itself. */
-    readonly staleMs: number;
+    readonly staleAfterMs: number;
     /** Time by which a relay asks the platform sooner than those who rely on it, so that one call serves them all. */
     readonly relayLeadMs: number;
 }
@@ -64,17 +64,17 @@
     const staleMs = boundMs - actMs;
     const confirmMs = staleMs - spreadMs;
     return {
-        exchangeMs: 1000,
-        quietMs: 4000,
+        exchangeIntervalMs: 1000,
+        quietIntervalMs: 4000,
         confirmMs,
-        askMs: confirmMs + graceMs,
+        longPollMs: confirmMs + graceMs,
         batchMs: boundMs * batchShare,
         callTimeoutMs: boundMs * callShare,
-        suspectBeats: 4,
-        failBeats: 8,
-        avoidMs: 3000,
+        suspectHeartbeats: 4,
+        failHeartbeats: 8,
+        peerBackoffMs: 3000,
         settleMs: 2500,
-        staleMs,
+        staleAfterMs: staleMs,
         relayLeadMs: 300,
     };
 };
@@ -102,4 +102,5 @@
 export const heartbeatMsFor = (members: number): number => secondMs * Math.max(1, (members - beatFleetSize) / beatsPerSecond);
 
 /** Time between two exchanges over a quiet link, in milliseconds. */
-export const quietMsFor = ({ quietMs }: FleetTimes, members: number): number => quietMs * Math.max(1, members / quietFleetSize);
+export const quietIntervalMsFor = ({ quietIntervalMs: quietMs }: FleetTimes, members: number): number =>
+    quietMs * Math.max(1, members / quietFleetSize);
--- a/packages/published/src/index.ts
+++ b/packages/published/src/index.ts
@@ -6,15 +6,22 @@
  * @packageDocumentation
  */
 
-export { AcceptedConfiguration, type ConfigurationInForce } from "./accepted-configuration.js";
-export { defaultBoundMs, defaultFleetTimes, type FleetTimes, fleetTimesFor, heartbeatMsFor, quietMsFor } from "./fleet-times.js";
-export { type OfferResult } from "./offer-result.js";
+export { ActiveConfiguration, type LoadedConfiguration } from "./active-configuration.js";
+export { type ApplyResult } from "./apply-result.js";
+export {
+    defaultBoundMs,
+    defaultFleetTimes,
+    type FleetTimes,
+    fleetTimesFor,
+    heartbeatMsFor,
+    quietIntervalMsFor,
+} from "./fleet-times.js";
 export {
     type DirectoryChange,
-    type DirectoryNews,
-    type Listing,
-    toListing,
+    type DirectoryEntry,
+    type DirectoryUpdate,
+    toDirectoryEntry,
     UpstreamDirectory,
     type UpstreamDirectoryOptions,
 } from "./upstream-directory.js";
-export { type ZoneListing, ZoneListings, type ZoneNews } from "./zone-listings.js";
+export { type ZoneStatus, ZoneStatusTable, type ZoneUpdate } from "./zone-status-table.js";
--- a/packages/published/src/zone-listings.ts
+++ b/packages/published/src/zone-status-table.ts
@@ -5,7 +5,7 @@
  */
 
 /** Whether an availability zone is out of service, as of a revision of the platform. */
-export interface ZoneListing {
+export interface ZoneStatus {
     readonly availabilityZone: string;
     /** Revision of the platform at which it was taken out of service or put back. */
     readonly revision: number;
@@ -14,16 +14,16 @@
 }
 
 /** Listings of zones in news that include every change up to a revision. */
-export interface ZoneNews {
+export interface ZoneUpdate {
     readonly revision: number;
     /** Whether zones without a listing are in service. */
-    readonly whole: boolean;
-    readonly zones: readonly ZoneListing[];
+    readonly isSnapshot: boolean;
+    readonly zones: readonly ZoneStatus[];
 }
 
 /** Keeps the zones by their revisions; an older listing never undoes a later one. */
-export class ZoneListings {
-    private readonly listings = new Map<string, ZoneListing>();
+export class ZoneStatusTable {
+    private readonly listings = new Map<string, ZoneStatus>();
 
     /** Whether an availability zone is out of service. */
     isOut(availabilityZone: string): boolean {
@@ -31,7 +31,7 @@
     }
 
     /** The availability zones that are out of service. */
-    get out(): readonly string[] {
+    get outOfService(): readonly string[] {
         return [...this.listings.values()].filter(({ isOut }) => isOut).map(({ availabilityZone }) => availabilityZone);
     }
 
@@ -42,8 +42,8 @@
      * @param known - Revision up to which everything is known already.
      * @returns What has changed.
      */
-    takeIn(news: ZoneNews, known: number): readonly ZoneListing[] {
-        const returned = news.whole && news.revision >= known ? this.missingFrom(news) : [];
+    merge(news: ZoneUpdate, known: number): readonly ZoneStatus[] {
+        const returned = news.isSnapshot && news.revision >= known ? this.missingFrom(news) : [];
         return [...news.zones, ...returned].filter(listing => this.put(listing));
     }
 
@@ -53,12 +53,12 @@
      * @param revision - What it knows.
      * @param isWhole - Whether it is told all zones that are out, so that the others are in service.
      */
-    after(revision: number, isWhole: boolean): readonly ZoneListing[] {
+    statusesSince(revision: number, isWhole: boolean): readonly ZoneStatus[] {
         return [...this.listings.values()].filter(listing => isWhole ? listing.isOut : listing.revision > revision);
     }
 
     /** Takes a listing over; tells whether the zone has changed by it. */
-    private put(listing: ZoneListing): boolean {
+    private put(listing: ZoneStatus): boolean {
         const before = this.listings.get(listing.availabilityZone);
         if (before !== undefined && before.revision >= listing.revision) {
             return false;
@@ -68,7 +68,7 @@
     }
 
     /** Zones that were put back into service without anyone here having heard of it. */
-    private missingFrom({ revision, zones }: ZoneNews): readonly ZoneListing[] {
+    private missingFrom({ revision, zones }: ZoneUpdate): readonly ZoneStatus[] {
         const present = new Set(zones.map(({ availabilityZone }) => availabilityZone));
         return [...this.listings.values()]
             .filter(listing => listing.isOut && listing.revision <= revision && !present.has(listing.availabilityZone))
--- a/packages/standin/src/bench-decision-time.ts
+++ b/packages/standin/src/bench-decision-time.ts
@@ -7,7 +7,7 @@
 import { readScenario } from "@harrierhitch/command";
 import { checkConfiguration, type ChooserName, chooserNames, type ServicePolicy } from "@harrierhitch/configuration";
 import { SeededRandom, serviceName } from "@harrierhitch/core";
-import { decide, type DecisionInput, drawNumbers, initialDynamics, toExpectation } from "@harrierhitch/decision";
+import { decide, type DecisionInput, drawNumbers, initialLoadModel, predictLoad } from "@harrierhitch/decision";
 import type { UpstreamFacts } from "@harrierhitch/policy";
 import { benchConfiguration, rankExpression } from "./bench-configuration.js";
 
@@ -76,7 +76,7 @@
     };
     return {
         ...load,
-        ...toExpectation(load, initialDynamics),
+        ...predictLoad(load, initialLoadModel),
         id: `main-${index}`,
         availabilityZone: "hall-a",
         sameZone: index % 3 === 0,
--- a/packages/standin/test/caller-faults.test.ts
+++ b/packages/standin/test/caller-faults.test.ts
@@ -130,7 +130,7 @@
     assert.equal(received.match(/"path":"\/read\/second"/g)?.length, 1);
 });
 
-const inFlight = (): number => system.daemon.instance.services.all().reduce((sum, runtime) => sum + runtime.beliefs.inFlight, 0);
+const inFlight = (): number => system.daemon.instance.services.all().reduce((sum, runtime) => sum + runtime.tracker.inFlight, 0);
 
 interface LeavingCase {
     readonly name: string;
--- a/packages/standin/test/explained-facts.test.ts
+++ b/packages/standin/test/explained-facts.test.ts
@@ -1,6 +1,6 @@
 import { createClient } from "@connectrpc/connect";
 import { createConnectTransport } from "@connectrpc/connect-node";
-import { explanationText, replay } from "@harrierhitch/command";
+import { formatExplanation, replay } from "@harrierhitch/command";
 import { OperatorService } from "@harrierhitch/protocol";
 import assert from "node:assert/strict";
 import { after, before, test } from "node:test";
@@ -45,7 +45,7 @@
     assert.deepEqual([explanation.steps[0]?.action, explanation.steps.at(-1)?.action], ["hold", "refuse"]);
     assert.ok(replay(explanation).every(({ same }) => same), "some decision replays to another");
     assert.ok(explanation.steps.every(({ isTrial }) => !isTrial));
-    const text = explanationText(explanation, "entry-1");
+    const text = formatExplanation(explanation, "entry-1");
     assert.match(text, /with room for 2\.00/);
     assert.match(text, /target 60\.0 ms, .* left since the first try, slack .*, may be held for .*, 0 ahead/);
     assert.match(text, /0\.0 of 2/);
--- a/packages/standin/test/fleet-system.test.ts
+++ b/packages/standin/test/fleet-system.test.ts
@@ -60,7 +60,7 @@
 test("a drain that one instance sees reaches the others while the platform is down, and none sends new work there", async () => {
     system.platform.behaviour = { failStatus: 500 };
     system.upstreams[0]!.behaviour = { ...system.upstreams[0]!.behaviour, draining: true };
-    const stateAt = (daemon: Daemon) => daemon.instance.services.all()[0]!.beliefs.facts()[0]!.state;
+    const stateAt = (daemon: Daemon) => daemon.instance.services.all()[0]!.tracker.facts()[0]!.state;
     while (stateAt(daemons[0]!) !== "draining") {
         await (await fetch(`http://127.0.0.1:${ports[0]!.callers}/read/x`)).text();
     }
@@ -78,7 +78,7 @@
     test("cuts off nothing in flight, and turns readiness off at once", async () => {
         system.upstreams[1]!.behaviour = { ...system.upstreams[1]!.behaviour, meanServiceMs: 300 };
         const inFlight = Promise.all(Array.from({ length: 6 }, () => issue(2)));
-        await until(() => daemons[1]!.instance.services.all()[0]!.beliefs.inFlight === 6);
+        await until(() => daemons[1]!.instance.services.all()[0]!.tracker.inFlight === 6);
         const stopped = daemons[1]!.stop();
         assert.equal(daemons[1]!.instance.stage, "stopping");
         assert.deepEqual(await inFlight, [200, 200, 200, 200, 200, 200]);
--- a/packages/standin/test/limit-status.test.ts
+++ b/packages/standin/test/limit-status.test.ts
@@ -1,6 +1,6 @@
 import { createClient } from "@connectrpc/connect";
 import { createConnectTransport } from "@connectrpc/connect-node";
-import { explanationText, replay } from "@harrierhitch/command";
+import { formatExplanation, replay } from "@harrierhitch/command";
 import { OperatorService } from "@harrierhitch/protocol";
 import assert from "node:assert/strict";
 import { after, before, test } from "node:test";
@@ -34,5 +34,5 @@
     assert.ok(explanation);
     assert.equal(explanation.steps.at(-1)?.candidates[0]?.excluded, "limited");
     assert.ok(replay(explanation).every(({ same }) => same), "some decision replays to another");
-    assert.match(explanationText(explanation, "entry-1"), /0\.001 a second, in /);
+    assert.match(formatExplanation(explanation, "entry-1"), /0\.001 a second, in /);
 });
--- a/packages/standin/test/repeats.test.ts
+++ b/packages/standin/test/repeats.test.ts
@@ -135,7 +135,7 @@
     isOver = true;
     await Promise.all(popular);
     // Each end is one run of a request that causes it; what is known besides was under way there.
-    assert.ok(system.daemon.instance.crashes.ledger.size > ends(), "no popular request was under way where an upstream ended");
+    assert.ok(system.daemon.instance.crashes.history.size > ends(), "no popular request was under way where an upstream ended");
     assert.ok(!seen.includes(503));
     await pause();
     const statuses = await Promise.all(
