--- a/packages/decision/src/crash-history.ts
+++ b/packages/decision/src/crash-history.ts
@@ -139,8 +139,8 @@
         const alike = this.runs.filter(run => pathPartOf(run.key) === path);
         return this.merge(alike.map(run => ({
             ...run,
-            isAnswered: run.hasSucceeded || run.key === key,
-            answeredAlike: run.succeededMasks | agreeingSets(run.key, key),
+            hasSucceeded: run.hasSucceeded || run.key === key,
+            succeededMasks: run.succeededMasks | agreeingSets(run.key, key),
         })));
     }
 
@@ -177,10 +177,10 @@
         const before = known?.run ?? { ...run, succeededMasks: run.succeededMasks | this.answered.agreeingWith(run.key) };
         const kept = {
             ...before,
-            isAnswered: before.hasSucceeded || run.hasSucceeded,
-            answeredAlike: before.succeededMasks | run.succeededMasks,
+            hasSucceeded: before.hasSucceeded || run.hasSucceeded,
+            succeededMasks: before.succeededMasks | run.succeededMasks,
         };
-        if (known !== undefined && kept.isAnswered === before.hasSucceeded && kept.answeredAlike === before.succeededMasks) {
+        if (known !== undefined && kept.hasSucceeded === before.hasSucceeded && kept.succeededMasks === before.succeededMasks) {
             return false;
         }
         this.entries.delete(run.id);
--- a/packages/decision/src/upstream-estimate.ts
+++ b/packages/decision/src/upstream-estimate.ts
@@ -192,7 +192,7 @@
         : belief.latencyMs + options.latencyAlpha * (answer.latencyMs - belief.latencyMs);
     const failureRate = belief.failureRate * (1 - options.failureAlpha);
     const limit = Math.min(options.maximumLimit, belief.limit + 1 / belief.limit);
-    const next = { ...belief, latencyMs, answeredAtMs: answer.atMs, failureRate, failuresInRow: 0, limit };
+    const next = { ...belief, latencyMs, lastResponseAtMs: answer.atMs, failureRate, consecutiveFailures: 0, limit };
     return belief.state === "suspect" && failureRate < recoveredFailureRate
         ? { ...withState(next, "ready", answer.atMs), ejections: 0 }
         : next;
@@ -205,9 +205,9 @@
     mayEject: () => boolean,
 ): UpstreamEstimate => {
     const failureRate = belief.failureRate + options.failureAlpha * (1 - belief.failureRate);
-    const failuresInRow = belief.consecutiveFailures + 1;
-    const next = { ...belief, failureRate, failuresInRow };
-    const tooMany = failuresInRow >= options.ejectAfterFailures || failureRate > options.ejectFailureRate;
+    const consecutiveFailures = belief.consecutiveFailures + 1;
+    const next = { ...belief, failureRate, consecutiveFailures };
+    const tooMany = consecutiveFailures >= options.ejectAfterFailures || failureRate > options.ejectFailureRate;
     const isTrial = belief.state === "suspect";
     if (!(tooMany || isTrial) || belief.state === "ejected" || belief.state === "draining") {
         return next;
