--- a/packages/command/src/check-command.ts
+++ b/packages/command/src/check-command.ts
@@ -1,5 +1,5 @@
 /**
- * `harrierhitch check`.
+ * The command `harrierhitch check`.
  *
  * @packageDocumentation
  */
@@ -8,7 +8,7 @@
 import { defineCommand } from "citty";
 import { readFile } from "node:fs/promises";
 import { jsonArg } from "./common-args.js";
-import { exitCodes, InvalidInputError, reportingFailure } from "./failure.js";
+import { exitCodes, InvalidInputError, runWithExitCode } from "./failure.js";
 import { writeJson, writeLine } from "./output.js";
 
 const checks = {
@@ -19,7 +19,7 @@
 
 type DocumentKind = keyof typeof checks;
 
-/** Checks a document offline. */
+/** Checks a document without contacting an instance. */
 export const checkCommand = defineCommand({
     meta: {
         name: "check",
@@ -30,28 +30,28 @@
         kind: {
             type: "string",
             valueHint: "settings|configuration|policies",
-            description: "What the file is; guessed without it",
+            description: "Kind of the file; detected from its content by default",
         },
         ...jsonArg,
     },
     run: ({ args }) =>
-        reportingFailure(async () => {
+        runWithExitCode(async () => {
             const text = await readFile(args.file, "utf8");
-            const kind = toKind(args.kind) ?? guessKind(text);
+            const kind = parseKind(args.kind) ?? detectKind(text);
             const { findings } = checks[kind](args.file, text);
             report(args.file, kind, findings, args.json);
             return findings.length === 0 ? exitCodes.done : exitCodes.invalid;
         }),
 });
 
-const toKind = (name: string | undefined): DocumentKind | undefined => {
+const parseKind = (name: string | undefined): DocumentKind | undefined => {
     if (name !== undefined && !Object.hasOwn(checks, name)) {
         throw new InvalidInputError(`unknown kind ${name}, expected settings, configuration or policies`);
     }
     return name as DocumentKind | undefined;
 };
 
-const guessKind = (text: string): DocumentKind => {
+const detectKind = (text: string): DocumentKind => {
     if (/^\s*\[instance\]/m.test(text)) {
         return "settings";
     }
--- a/packages/command/src/client.ts
+++ b/packages/command/src/client.ts
@@ -1,5 +1,5 @@
 /**
- * The connection of the command line to one instance.
+ * The client for the operators' service of an instance.
  *
  * @packageDocumentation
  */
@@ -9,22 +9,23 @@
 import { OperatorService } from "@harrierhitch/protocol";
 import { readFileSync } from "node:fs";
 
-/** How to reach an instance's operators' side. */
+/** Address and TLS files for the operators' port of an instance. */
 export interface InstanceAddress {
-    /** `IP:port`. */
+    /** Address as `IP:port`. */
     readonly instance: string;
-    /** PEM file of the client's certificate; TLS is used when it is set. */
+    /** PEM file with the client certificate; enables TLS. */
     readonly certificate?: string | undefined;
+    /** PEM file with the private key of the certificate. */
     readonly key?: string | undefined;
-    /** PEM file of the authority that the instance's certificate must come from. */
+    /** PEM file with the authority that issued the instance's certificate. */
     readonly authority?: string | undefined;
 }
 
-/** Time within which an instance must answer. */
+/** Timeout of a call in milliseconds. */
 const timeoutMs = 5000;
 
-/** Opens a client of the operators' service. */
-export const openClient = (address: InstanceAddress): Client<typeof OperatorService> =>
+/** Creates a client for the operators' service. */
+export const createOperatorClient = (address: InstanceAddress): Client<typeof OperatorService> =>
     createClient(
         OperatorService,
         createConnectTransport({
@@ -35,11 +36,11 @@
         }),
     );
 
-/** The URL of an instance's operators' side. */
+/** Returns the base URL of the operators' port. */
 export const baseUrl = ({ instance, certificate }: InstanceAddress): string =>
     `${certificate === undefined ? "http" : "https"}://${instance}`;
 
-/** TLS files of the client, read. */
+/** Reads the TLS files and returns them as TLS options. */
 export const tlsOptions = ({ certificate, key, authority }: InstanceAddress) => ({
     ...(certificate === undefined ? {} : { cert: readFileSync(certificate) }),
     ...(key === undefined ? {} : { key: readFileSync(key) }),
--- a/packages/command/src/explain-command.ts
+++ b/packages/command/src/explain-command.ts
@@ -1,5 +1,5 @@
 /**
- * `harrierhitch explain` and `harrierhitch replay`.
+ * The commands `harrierhitch explain` and `harrierhitch replay`.
  *
  * @packageDocumentation
  */
@@ -9,27 +9,27 @@
 import { type Explanation, ExplanationSchema } from "@harrierhitch/protocol";
 import { defineCommand } from "citty";
 import { readFile } from "node:fs/promises";
-import { openClient } from "./client.js";
+import { createOperatorClient } from "./client.js";
 import { addressOf, instanceArgs, jsonArg } from "./common-args.js";
 import { formatExplanation } from "./explanation-text.js";
-import { exitCodes, InvalidInputError, reportingFailure } from "./failure.js";
+import { exitCodes, InvalidInputError, runWithExitCode } from "./failure.js";
 import { table, writeJson, writeLine } from "./output.js";
 import { replay } from "./replay.js";
 
-/** Shows why a request went where it went. */
+/** Shows the decisions and attempts of a request. */
 export const explainCommand = defineCommand({
-    meta: { name: "explain", description: "Show why a request went where it went" },
+    meta: { name: "explain", description: "Show the decisions and attempts of a request" },
     args: {
         id: { type: "positional", required: true, description: "Request id, from the header x-harrierhitch-request-id" },
         ...instanceArgs,
         ...jsonArg,
     },
     run: ({ args }) =>
-        reportingFailure(async () => {
-            const response = await openClient(addressOf(args)).explain({ requestId: args.id });
+        runWithExitCode(async () => {
+            const response = await createOperatorClient(addressOf(args)).explain({ requestId: args.id });
             const { explanation, instance } = response;
             if (explanation === undefined) {
-                throw new InvalidInputError("the instance answered without an explanation");
+                throw new InvalidInputError("the response of the instance has no explanation");
             }
             if (args.json) {
                 writeJson(toJson(ExplanationSchema, explanation));
@@ -41,16 +41,16 @@
         }),
 });
 
-/** Runs a recorded decision again. */
+/** Replays the decisions of a recorded explanation. */
 export const replayCommand = defineCommand({
-    meta: { name: "replay", description: "Run a recorded decision again and say whether the choice is the same" },
+    meta: { name: "replay", description: "Replay recorded decisions and report whether the results are the same" },
     args: {
         record: { type: "string", required: true, valueHint: "FILE", description: "Output of explain --json" },
         ...jsonArg,
     },
     run: ({ args }) =>
-        reportingFailure(async () => {
-            const steps = replay(readExplanation(await readFile(args.record, "utf8")));
+        runWithExitCode(async () => {
+            const steps = replay(parseExplanation(await readFile(args.record, "utf8")));
             if (args.json) {
                 writeJson(steps);
             }
@@ -62,7 +62,7 @@
         }),
 });
 
-const readExplanation = (text: string): Explanation => {
+const parseExplanation = (text: string): Explanation => {
     try {
         return fromJsonString(ExplanationSchema, text);
     }
--- a/packages/command/src/explanation-text.ts
+++ b/packages/command/src/explanation-text.ts
@@ -1,5 +1,5 @@
 /**
- * An explanation as a person reads it.
+ * Formats explanations for terminal output.
  *
  * @packageDocumentation
  */
@@ -7,21 +7,21 @@
 import type { Attempt, Candidate, Explanation, Step } from "@harrierhitch/protocol";
 import { formatCount, formatMs, paint, table } from "./output.js";
 
-/** Writes an explanation as text. */
+/** Formats an explanation as text. */
 export const formatExplanation = (explanation: Explanation, instance: string): string =>
     [
-        ...headLines(explanation, instance),
+        ...headerLines(explanation, instance),
         "",
         ...policyLines(explanation),
         ...explanation.steps.flatMap((step, index) => ["", ...stepLines(step, index + 1)]),
         ...attemptLines(explanation.attempts),
         "",
-        endLine(explanation),
+        outcomeLine(explanation),
     ].join("\n");
 
-const headLines = (explanation: Explanation, instance: string): readonly string[] => {
+const headerLines = (explanation: Explanation, instance: string): readonly string[] => {
     const request = explanation.steps[0]?.request;
-    const arrived = new Date(explanation.arrivedAtUnixMs).toISOString();
+    const arrivedAt = new Date(explanation.arrivedAtUnixMs).toISOString();
     return [
         `${paint.bold("Request")} ${explanation.requestId}, decided by instance ${instance}`,
         ...(request === undefined
@@ -29,7 +29,7 @@
             : [`${request.method} ${request.path}, kind ${request.kind}, workspace ${
                 request.workspace === "" ? "unknown" : request.workspace
             }`]),
-        `Arrived ${arrived}, route ${explanation.route} to service ${explanation.service}, trace ${explanation.traceId}`,
+        `Arrived ${arrivedAt}, route ${explanation.route} to service ${explanation.service}, trace ${explanation.traceId}`,
         `Configuration generation ${explanation.generation}, hash ${explanation.configurationHash.slice(0, 12)}`,
     ];
 };
@@ -44,10 +44,10 @@
     `${paint.bold(`Decision ${number}`)} at ${formatMs(step.atMs)}: ${actionText(step)}`,
     ...(step.failedClause === "" ? [] : [`  clause ${step.failedClause} failed: ${step.failureDetail}; safe default used`]),
     `  ${step.request === undefined ? "" : `${formatMs(step.request.remainingMs)} left, `}${serviceText(step)}`,
-    ...urgencyLines(step),
+    ...targetLines(step),
     `  draws ${step.draws.map(draw => draw.toFixed(4)).join(" ")}, turn ${step.turn}`
     + (step.tried.length === 0 ? "" : `, already tried ${step.tried.join(", ")}`),
-    indent(table(candidateTitles, step.candidates.map(candidate => candidateCells(candidate, step.upstream)))),
+    indent(table(candidateHeadings, step.candidates.map(candidate => candidateCells(candidate, step.upstream)))),
 ];
 
 const actionText = (step: Step): string => {
@@ -69,21 +69,21 @@
         : `${service.inFlight} in flight, ${service.queued} held back, ${service.candidates} of ${service.upstreams} upstreams free, `
             + `the best in ${service.bestTime.toFixed(2)} times usual work with room for ${service.room.toFixed(2)}`;
 
-const urgencyLines = ({ request }: Step): readonly string[] =>
+const targetLines = ({ request }: Step): readonly string[] =>
     request === undefined || request.targetMs === 0
         ? []
         : [
-            `  target ${formatMs(request.targetMs)}, ${leftText(request.targetLeftMs)} since the first try, slack `
+            `  target ${formatMs(request.targetMs)}, ${remainingText(request.targetLeftMs)} since the first try, slack `
             + `${formatMs(Math.max(0, request.slackMs))}, may be held for ${
                 formatMs(request.holdLeftMs)
             }, ${request.ahead} ahead, `
             + `waits for ${formatMs(request.waitMs)} at least`,
         ];
 
-const leftText = (targetLeftMs: number): string =>
+const remainingText = (targetLeftMs: number): string =>
     targetLeftMs < 0 ? `passed ${formatMs(-targetLeftMs)} ago` : `${formatMs(targetLeftMs)} left`;
 
-const candidateTitles = [
+const candidateHeadings = [
     "",
     "upstream",
     "zone",
@@ -104,8 +104,8 @@
     "left out",
 ];
 
-const candidateCells = (candidate: Candidate, chosen: string): readonly string[] => [
-    candidate.id === chosen ? paint.green("*") : "",
+const candidateCells = (candidate: Candidate, selected: string): readonly string[] => [
+    candidate.id === selected ? paint.green("*") : "",
     candidate.id,
     candidate.availabilityZone,
     candidate.state,
@@ -120,13 +120,13 @@
     `${candidate.expectedInFlight.toFixed(1)} of ${candidate.bestInFlight}`,
     (candidate.expectedSlowness * candidate.crowding).toFixed(1),
     `${(candidate.failureRate * 100).toFixed(0)} %`,
-    takesText(candidate),
+    limitText(candidate),
     candidate.score === undefined ? "" : candidate.score.toFixed(2),
     candidate.excluded,
 ];
 
-/** What an upstream takes from all instances by its own word, and when this instance's next turn was. */
-const takesText = ({ takesPerSecond, shareInMs, shareGapMs }: Candidate): string =>
+/** Formats the rate limit announced by an upstream and the time until the instance's next permit. */
+const limitText = ({ takesPerSecond, shareInMs, shareGapMs }: Candidate): string =>
     shareGapMs === 0 ? "" : `${takesPerSecond} a second, ${shareInMs === 0 ? "now" : `in ${formatMs(shareInMs)}`}`;
 
 const attemptLines = (attempts: readonly Attempt[]): readonly string[] =>
@@ -147,13 +147,13 @@
         )),
     ];
 
-const endLine = (explanation: Explanation): string => {
+const outcomeLine = (explanation: Explanation): string => {
     if (explanation.outcome === "") {
         return `${paint.bold("Outcome")} still in flight`;
     }
-    const answer = explanation.status === 0 ? "no answer was sent" : `status ${explanation.status}`;
+    const response = explanation.status === 0 ? "no answer was sent" : `status ${explanation.status}`;
     const problem = explanation.problem === "" ? "" : `, problem ${explanation.problem}`;
-    return `${paint.bold("Outcome")} ${explanation.outcome}, ${answer}${problem}, after ${formatMs(explanation.durationMs)}`;
+    return `${paint.bold("Outcome")} ${explanation.outcome}, ${response}${problem}, after ${formatMs(explanation.durationMs)}`;
 };
 
 const indent = (text: string): string => text.split("\n").map(line => `  ${line.trimEnd()}`).join("\n");
--- a/packages/command/src/failure.ts
+++ b/packages/command/src/failure.ts
@@ -1,5 +1,5 @@
 /**
- * Failures of the command line and its exit codes.
+ * Error handling and exit codes of the command line.
  *
  * @packageDocumentation
  */
@@ -8,25 +8,25 @@
 import { InvalidDocumentError } from "@harrierhitch/configuration";
 import { asError, HarrierhitchError } from "@harrierhitch/core";
 
-/** Exit codes of every command. */
+/** Exit codes of all commands. */
 export const exitCodes = {
-    /** The command did what it says. */
+    /** The command succeeded. */
     done: 0,
-    /** The instance could not be reached or refused. */
+    /** The instance is unreachable or rejected the call, or another error occurred. */
     failed: 1,
-    /** A document or an argument was rejected. */
+    /** A document or an argument is invalid. */
     invalid: 2,
     /** A replayed decision differs from the recorded one. */
     differs: 3,
 } as const;
 
-/** An argument or an input file that cannot be used. */
+/** An argument or an input file is invalid. */
 export class InvalidInputError extends HarrierhitchError {
     readonly code = "invalid-input";
 }
 
-/** Runs a command, writes its failure as one line, and sets the exit code. */
-export const reportingFailure = async (action: () => Promise<number> | number): Promise<void> => {
+/** Runs a command, writes its error message to standard error, and sets the exit code. */
+export const runWithExitCode = async (action: () => Promise<number> | number): Promise<void> => {
     try {
         process.exitCode = await action();
     }
--- a/packages/command/src/index.ts
+++ b/packages/command/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' command line.
+ * The command line for operators.
  *
  * @packageDocumentation
  */
--- a/packages/command/src/output.ts
+++ b/packages/command/src/output.ts
@@ -1,5 +1,5 @@
 /**
- * Output for people and for programs.
+ * Formatting and writing of command output.
  *
  * @packageDocumentation
  */
@@ -12,17 +12,17 @@
     process.stdout.write(`${text}\n`);
 };
 
-/** Writes a value as JSON for programs. */
+/** Writes a value to standard output as JSON. */
 export const writeJson = (value: unknown): void => writeLine(JSON.stringify(value, undefined, 4));
 
-/** Colours, which are on only when standard output is a terminal. */
+/** Terminal colours; disabled if standard output is not a terminal or `NO_COLOR` is set. */
 export const paint = colors.createColors(process.stdout.isTTY && process.env["NO_COLOR"] === undefined);
 
 /**
- * Lays out a table for people.
+ * Formats a table with aligned columns and without borders.
  *
- * @param head - Titles of the columns.
- * @param rows - Cells.
+ * @param head - Column headings.
+ * @param rows - Cells by row.
  */
 export const table = (head: readonly string[], rows: readonly (readonly string[])[]): string => {
     const layout = new Table({
@@ -50,7 +50,7 @@
     return layout.toString();
 };
 
-/** Writes a time in milliseconds; a negative one means never. */
+/** Formats a duration given in milliseconds; `-` if it is negative, which means never. */
 export const formatMs = (milliseconds: number): string => {
     if (milliseconds < 0) {
         return "-";
@@ -61,5 +61,5 @@
     return milliseconds >= 100 ? `${milliseconds.toFixed(0)} ms` : `${milliseconds.toFixed(1)} ms`;
 };
 
-/** Writes a count; a negative one means unknown. */
+/** Formats a count; `-` if it is negative, which means unknown. */
 export const formatCount = (count: number): string => count < 0 ? "-" : String(count);
--- a/packages/command/src/program.ts
+++ b/packages/command/src/program.ts
@@ -16,7 +16,7 @@
     meta: {
         name: "harrierhitch",
         version,
-        description: "Operators' command line. Exit codes: 0 done, 1 failed, 2 rejected input, 3 a replay differs.",
+        description: "Command line for operators. Exit codes: 0 done, 1 failed, 2 invalid input, 3 a replay differs.",
     },
     subCommands: {
         check: checkCommand,
@@ -32,8 +32,8 @@
 });
 
 /**
- * Runs the command line's program.
+ * Runs the program `harrierhitch`.
  *
- * @param args - Arguments without the program's name.
+ * @param args - Command-line arguments without the program name.
  */
 export const runCommandProgram = (args: readonly string[]): Promise<void> => runMain(main, { rawArgs: [...args] });
--- a/packages/command/src/replay.ts
+++ b/packages/command/src/replay.ts
@@ -1,5 +1,5 @@
 /**
- * Running recorded decisions again.
+ * Replay of recorded decisions.
  *
  * @packageDocumentation
  */
@@ -10,20 +10,24 @@
 import type { Explanation, Policy as PolicyMessage, Step } from "@harrierhitch/protocol";
 import { InvalidInputError } from "./failure.js";
 
-/** One decision that was run again. */
+/** A replayed decision. */
 export interface ReplayedStep {
-    /** Number of the decision, from 1. */
+    /** Number of the decision, starting at 1. */
     readonly step: number;
+    /** Recorded action, with the upstream if one was selected. */
     readonly recorded: string;
+    /** Replayed action, with the upstream if one was selected. */
     readonly replayed: string;
+    /** Whether both are equal. */
     readonly same: boolean;
 }
 
 /**
- * Runs every decision of an explanation again, from the explanation alone.
+ * Repeats all decisions of an explanation with the recorded inputs.
  *
  * @param explanation - The recorded explanation.
- * @throws {@link InvalidInputError} when it lacks what a replay needs.
+ * @returns The replayed decisions in their order.
+ * @throws {@link InvalidInputError} if the explanation is incomplete or its policy is invalid.
  */
 export const replay = (explanation: Explanation): readonly ReplayedStep[] => {
     const { policy } = explanation;
@@ -42,21 +46,21 @@
 const decisionText = (decision: Decision): string =>
     decision.action === "choose" ? `choose ${decision.upstream}` : decision.action;
 
-/** Makes a policy from its message. */
+/** Converts a policy message to a checked policy. */
 export const toServicePolicy = (message: PolicyMessage) => {
     const chooser = chooserNames.find(name => name === message.chooser);
     if (chooser === undefined) {
-        throw new InvalidInputError(`there is no chooser ${message.chooser}`);
+        throw new InvalidInputError(`unknown chooser ${message.chooser}`);
     }
     return {
-        policy: checkedPolicy(toSource(message)),
+        policy: checkPolicy(toSource(message)),
         chooser: chooser satisfies ChooserName,
         refuseRetryAfterMs: message.refuseRetryAfterMs,
         refuseRetryAfterPercent: message.refuseRetryAfterPercent,
     };
 };
 
-const checkedPolicy = (source: PolicySource): Policy => {
+const checkPolicy = (source: PolicySource): Policy => {
     const result = Policy.check(source);
     if (result instanceof Policy) {
         return result;
@@ -65,17 +69,17 @@
 };
 
 const toSource = (message: PolicyMessage): PolicySource => {
-    const given = clauseNames.flatMap(name => message.clauses.filter(clause => clause.name === name));
+    const clauses = clauseNames.flatMap(name => message.clauses.filter(clause => clause.name === name));
     return {
         name: message.name,
-        clauses: Object.fromEntries(given.map(clause => [clause.name, clause.expression])),
-        lines: Object.fromEntries(given.map(clause => [clause.name, clause.line])),
+        clauses: Object.fromEntries(clauses.map(clause => [clause.name, clause.expression])),
+        lines: Object.fromEntries(clauses.map(clause => [clause.name, clause.line])),
     };
 };
 
 const toInput = (step: Step): DecisionInput => {
     if (step.request === undefined || step.service === undefined) {
-        throw new InvalidInputError("a decision of the explanation lacks its facts");
+        throw new InvalidInputError("a decision of the explanation has no request or service facts");
     }
     return {
         request: step.request,
--- a/packages/command/src/scenario.ts
+++ b/packages/command/src/scenario.ts
@@ -1,5 +1,5 @@
 /**
- * Scenarios: a request, a service and candidates on which a policy is tried.
+ * Scenarios: the request, service and upstreams that a policy is evaluated with offline.
  *
  * @packageDocumentation
  */
@@ -30,32 +30,32 @@
 /** Schema of a scenario file. */
 export const scenarioSchema = z.strictObject({
     request: optionalSection({
-        kind: text("Name of the request's kind.", "read"),
+        kind: text("Name of the request kind.", "read"),
         workspace: text("Name of the caller's workspace.", "hall-a"),
         method: text("HTTP method.", "GET"),
         path: text("Path without the query.", "/"),
         weight: number("Weight of the kind.", 1),
-        repeatable: booleanKey({ description: "Whether it may run more than once.", defaultValue: true }),
+        repeatable: booleanKey({ description: "Whether it may be executed more than once.", defaultValue: true }),
         attempt: number("Number of the attempt.", 1),
         depth: number("Hops before this one.", 0),
         remainingMs: number("Time until the deadline.", 1000, "ms"),
-        heldMs: number("Time held back so far.", 0, "ms"),
+        heldMs: number("Time in the queue so far.", 0, "ms"),
         ageMs: number("Time since the request arrived.", 0, "ms"),
-        usualMs: number("Time that work for this kind usually takes; 0 when unknown.", 0, "ms"),
-        targetMs: number("Time within which an answer is worth most; 0 for none.", 0, "ms"),
-        targetLeftMs: number("Time left of it since the caller's first try.", 0, "ms"),
-        slackMs: number("Time for which it can wait and still be answered in time.", 0, "ms"),
-        holdLeftMs: number("Time for which it may still be held back.", 0, "ms"),
-        ahead: number("Held requests that go before it.", 0),
-        waitMs: number("Time for which it would wait at least for room.", 0, "ms"),
+        usualMs: number("Baseline service time of the kind; 0 if unknown.", 0, "ms"),
+        targetMs: number("Target latency; 0 for none.", 0, "ms"),
+        targetLeftMs: number("Remaining time to the target, counted from the caller's first try.", 0, "ms"),
+        slackMs: number("Time for which it can wait and still meet the target.", 0, "ms"),
+        holdLeftMs: number("Time for which it may still wait in the queue.", 0, "ms"),
+        ahead: number("Requests ahead of it in the queue.", 0),
+        waitMs: number("Minimum expected time in the queue.", 0, "ms"),
     }),
     service: optionalSection({
         name: text("Name of the service.", "service"),
         inFlight: number("Requests in flight from this instance.", 0),
-        queued: number("Requests held back.", 0),
-        returnInMs: number("Time until there is room for one more caller that is turned away because of limits.", 0, "ms"),
+        queued: number("Requests in the queue.", 0),
+        returnInMs: number("Time until one more caller rejected due to rate limits can be served.", 0, "ms"),
         turnedAwayMs: signed(
-            "Time since a caller was turned away because of limits that could be in time; -1 for none.",
+            "Time since a caller that could have met its target was rejected due to rate limits; -1 for none.",
             -1,
             "ms",
         ),
@@ -64,41 +64,42 @@
         z.string().regex(namePattern, "expected a name of lower-case letters, digits and hyphens"),
         z.strictObject({
             availabilityZone: text("Availability zone.", "hall-a"),
-            sameZone: booleanKey({ description: "Whether it is the instance's own.", defaultValue: true }),
+            sameZone: booleanKey({ description: "Whether it is the availability zone of the instance.", defaultValue: true }),
             state: choiceKey(["ready", "cold", "suspect", "ejected", "draining"], {
-                description: "Believed state.",
+                description: "State as seen by the instance.",
                 defaultValue: "ready",
             }),
             inFlight: number("Requests in flight from this instance.", 0),
-            limit: number("Most requests in flight.", 16),
-            restMs: number("Time for which it wants nothing from this instance.", 0, "ms"),
-            takesPerSecond: signed("Requests a second that it takes from all instances, by its own word; -1 for no limit.", -1),
-            shareGapMs: number("Time between two requests of this instance by its share of that.", 0, "ms"),
-            shareInMs: number("Time until this instance may send one more by its share.", 0, "ms"),
+            limit: number("Maximum requests in flight from this instance.", 16),
+            restMs: number("Time for which this instance must back off.", 0, "ms"),
+            takesPerSecond: signed("Announced rate limit for all instances in requests per second; -1 for none.", -1),
+            shareGapMs: number("Time between two requests by this instance's share of the rate limit.", 0, "ms"),
+            shareInMs: number("Time until this instance's share permits another request.", 0, "ms"),
             oldestInFlightMs: number("Age of the oldest request in flight.", 0, "ms"),
-            latencyMs: number("Decayed latency.", 5, "ms"),
-            latencyAgeMs: number("Age of the last answer.", 100, "ms"),
+            latencyMs: number("Exponentially weighted average latency.", 5, "ms"),
+            latencyAgeMs: number("Time since the last response.", 100, "ms"),
             reportedInFlight: number("Reported requests in flight.", 0),
-            reportAgeMs: number("Age of the report.", 100, "ms"),
-            sentSinceReport: number("Requests sent since the report.", 0),
-            slowness: number("Factor by which work takes longer than usual, as reported.", 1),
-            expectedInFlight: number("Requests expected in flight now, of all instances.", 0),
-            expectedSlowness: number("Slowness expected now.", 1),
-            bestInFlight: number("Requests in flight at which it answers most in a given time.", 3),
-            crowding: number("How much longer one more request takes because of those in flight.", 1),
-            failureRate: number("Decayed share of failures.", 0),
-            slots: number("Slots of the upstream.", 3),
+            reportAgeMs: number("Age of the load report.", 100, "ms"),
+            sentSinceReport: number("Requests sent since the load report.", 0),
+            slowness: number("Reported ratio of the service time to the baseline.", 1),
+            expectedInFlight: number("Estimated requests in flight from all instances.", 0),
+            expectedSlowness: number("Estimated current ratio of the service time to the baseline.", 1),
+            bestInFlight: number("Optimal concurrency: requests in flight at which the throughput is highest.", 3),
+            crowding: number("Expected ratio of the service time to the baseline due to contention.", 1),
+            failureRate: number("Exponentially weighted share of failed attempts.", 0),
+            slots: number("Requests that the upstream serves concurrently.", 3),
         }),
     ),
 });
 
 /**
- * Reads a scenario and makes a decision's input of it.
+ * Parses a scenario and returns it as the input of a decision.
  *
- * @param file - Name of the file, for findings.
- * @param content - The file's text.
- * @param seed - Seed of the random draws.
- * @throws InvalidDocumentError with all findings.
+ * @param file - File name for findings.
+ * @param content - The text of the file.
+ * @param seed - Seed of the random samples.
+ * @returns The input of a decision.
+ * @throws InvalidDocumentError with all findings if the scenario is invalid.
  */
 export const readScenario = (file: string, content: string, seed: number): DecisionInput => {
     const checked = checkDocument(IniDocument.parse(file, content), scenarioSchema);
--- a/packages/command/src/status-command.ts
+++ b/packages/command/src/status-command.ts
@@ -1,5 +1,5 @@
 /**
- * `harrierhitch status`, `watch`, `drain` and `metrics`.
+ * The commands `harrierhitch status`, `watch`, `drain` and `metrics`.
  *
  * @packageDocumentation
  */
@@ -14,18 +14,21 @@
 } from "@harrierhitch/protocol";
 import { defineCommand } from "citty";
 import { Agent, request } from "undici";
-import { baseUrl, openClient, tlsOptions } from "./client.js";
+import { baseUrl, createOperatorClient, tlsOptions } from "./client.js";
 import { addressOf, instanceArgs, jsonArg } from "./common-args.js";
-import { exitCodes, InvalidInputError, reportingFailure } from "./failure.js";
+import { exitCodes, InvalidInputError, runWithExitCode } from "./failure.js";
 import { formatCount, formatMs, paint, table, writeJson, writeLine } from "./output.js";
 
-/** Shows the instances and what they believe of the upstreams. */
+/** Shows the instances and the upstreams as each instance sees them. */
 export const statusCommand = defineCommand({
-    meta: { name: "status", description: "Show instances, generations in force, and upstreams with state and why" },
+    meta: {
+        name: "status",
+        description: "Show instances with their active generations, and upstreams with their states and the reasons",
+    },
     args: { ...instanceArgs, ...jsonArg },
     run: ({ args }) =>
-        reportingFailure(async () => {
-            const status = await openClient(addressOf(args)).getStatus({});
+        runWithExitCode(async () => {
+            const status = await createOperatorClient(addressOf(args)).getStatus({});
             if (args.json) {
                 writeJson(toJson(GetStatusResponseSchema, status));
             }
@@ -36,24 +39,24 @@
         }),
 });
 
-/** Shows the status again and again. */
+/** Shows the status repeatedly. */
 export const watchCommand = defineCommand({
-    meta: { name: "watch", description: "Show the status again and again, until interrupted" },
+    meta: { name: "watch", description: "Show the status repeatedly until interrupted" },
     args: {
         ...instanceArgs,
-        intervalMs: { type: "string", default: "1000", valueHint: "MS", description: "Time between two looks" },
-        times: { type: "string", default: "0", description: "Number of looks; 0 goes on until interrupted" },
+        intervalMs: { type: "string", default: "1000", valueHint: "MS", description: "Time between two updates in milliseconds" },
+        times: { type: "string", default: "0", description: "Number of updates; 0 for no limit" },
     },
     run: ({ args }) =>
-        reportingFailure(async () => {
-            const client = openClient(addressOf(args));
-            const intervalMs = wholeNumber("intervalMs", args.intervalMs);
-            const times = wholeNumber("times", args.times);
+        runWithExitCode(async () => {
+            const client = createOperatorClient(addressOf(args));
+            const intervalMs = parseInteger("intervalMs", args.intervalMs);
+            const times = parseInteger("times", args.times);
             const clock = new SystemClock();
-            for (let look = 0; times === 0 || look < times; look += 1) {
+            for (let update = 0; times === 0 || update < times; update += 1) {
                 const text = statusText(await client.getStatus({}));
                 writeLine(process.stdout.isTTY ? `\u001b[2J\u001b[H${text}` : text);
-                if (times === 0 || look + 1 < times) {
+                if (times === 0 || update + 1 < times) {
                     await sleep(clock, intervalMs);
                 }
             }
@@ -61,13 +64,13 @@
         }),
 });
 
-/** Begins a planned stop of the addressed instance. */
+/** Starts a planned stop of the addressed instance. */
 export const drainCommand = defineCommand({
-    meta: { name: "drain", description: "Stop the addressed instance as planned: nothing in flight is cut off" },
+    meta: { name: "drain", description: "Start a planned stop of the addressed instance; requests in flight finish first" },
     args: { ...instanceArgs, ...jsonArg },
     run: ({ args }) =>
-        reportingFailure(async () => {
-            const { closesInMs } = await openClient(addressOf(args)).drain({});
+        runWithExitCode(async () => {
+            const { closesInMs } = await createOperatorClient(addressOf(args)).drain({});
             if (args.json) {
                 writeJson({ closesInMs });
             }
@@ -83,7 +86,7 @@
     meta: { name: "metrics", description: "Print the metrics of the addressed instance" },
     args: { ...instanceArgs },
     run: ({ args }) =>
-        reportingFailure(async () => {
+        runWithExitCode(async () => {
             const address = addressOf(args);
             const dispatcher = new Agent({ connect: tlsOptions(address) });
             const response = await request(`${baseUrl(address)}/metrics`, { dispatcher });
@@ -93,7 +96,7 @@
         }),
 });
 
-const wholeNumber = (name: string, text: string): number => {
+const parseInteger = (name: string, text: string): number => {
     if (!/^\d{1,9}$/.test(text)) {
         throw new InvalidInputError(`--${name}: found ${text}, expected a whole number`);
     }
--- a/packages/command/src/try-command.ts
+++ b/packages/command/src/try-command.ts
@@ -1,5 +1,5 @@
 /**
- * `harrierhitch try`.
+ * The command `harrierhitch try`.
  *
  * @packageDocumentation
  */
@@ -19,21 +19,22 @@
 import { readFile } from "node:fs/promises";
 import * as z from "zod";
 import { jsonArg } from "./common-args.js";
-import { exitCodes, InvalidInputError, reportingFailure } from "./failure.js";
+import { exitCodes, InvalidInputError, runWithExitCode } from "./failure.js";
 import { paint, table, writeJson, writeLine } from "./output.js";
 import { readScenario } from "./scenario.js";
 
-/** One evaluation of one clause. */
+/** The evaluation of a clause. */
 interface ClauseStep {
     readonly clause: ClauseName;
-    /** Candidate for which it was evaluated; empty for clauses about the request alone. */
+    /** Candidate that the clause was evaluated for; empty for `refuse` and `hold`. */
     readonly upstream: string;
+    /** Result, or the error message if the evaluation failed. */
     readonly value: string;
 }
 
-/** Runs a policy offline on given candidates. */
+/** Evaluates a policy offline on a scenario. */
 export const tryCommand = defineCommand({
-    meta: { name: "try", description: "Run a policy offline on a scenario and show each step. Scenarios: docs/POLICIES.md" },
+    meta: { name: "try", description: "Evaluate a policy offline on a scenario and show each step. Scenarios: docs/POLICIES.md" },
     args: {
         policy: {
             type: "string",
@@ -47,12 +48,12 @@
             valueHint: "FILE",
             description: "INI file with the request, the service and the upstreams",
         },
-        name: { type: "string", valueHint: "NAME", description: "Policy to try; needed when the file has several" },
-        seed: { type: "string", default: "1", valueHint: "NUMBER", description: "Seed of the random draws" },
+        name: { type: "string", valueHint: "NAME", description: "Policy to evaluate; required if the file has several" },
+        seed: { type: "string", default: "1", valueHint: "NUMBER", description: "Seed of the random samples" },
         ...jsonArg,
     },
     run: ({ args }) =>
-        reportingFailure(async () => {
+        runWithExitCode(async () => {
             const servicePolicy = readPolicy(args.policy, await readFile(args.policy, "utf8"), args.name);
             if (!/^\d{1,9}$/.test(args.seed)) {
                 throw new InvalidInputError(`--seed: found ${args.seed}, expected a whole number`);
@@ -71,9 +72,13 @@
 });
 
 /**
- * Reads one policy of a file.
+ * Parses a file of policies and returns one of them.
  *
- * @throws InvalidDocumentError with all findings, or {@link InvalidInputError} when the name is missing.
+ * @param file - File name for findings.
+ * @param text - The text of the file.
+ * @param name - Name of the policy; optional if the file has only one.
+ * @returns The policy.
+ * @throws InvalidDocumentError with all findings, or {@link InvalidInputError} if no policy is selected.
  */
 export const readPolicy = (file: string, text: string, name: string | undefined): ServicePolicy => {
     const document = IniDocument.parse(file, text);
@@ -88,7 +93,7 @@
     const names = [...policies.keys()];
     const policy = policies.get(name ?? (names.length === 1 ? names[0] ?? "" : ""));
     if (policy === undefined) {
-        throw new InvalidInputError(`name one of the policies with --name: ${names.join(", ")}`);
+        throw new InvalidInputError(`select one of the policies with --name: ${names.join(", ")}`);
     }
     return policy;
 };
@@ -100,25 +105,25 @@
     const { request, service, upstreams } = input;
     switch (clause) {
         case "refuse":
-            return [{ clause, upstream: "", value: valueOf(() => policy.refuse(request, service) ?? "(no)") }];
+            return [{ clause, upstream: "", value: resultText(() => policy.refuse(request, service) ?? "(no)") }];
         case "hold":
-            return [{ clause, upstream: "", value: valueOf(() => policy.hold(request, service)) }];
+            return [{ clause, upstream: "", value: resultText(() => policy.hold(request, service)) }];
         case "filter":
             return upstreams.map(upstream => ({
                 clause,
                 upstream: upstream.id,
-                value: valueOf(() => policy.filter(request, service, upstream)),
+                value: resultText(() => policy.filter(request, service, upstream)),
             }));
         case "rank":
             return upstreams.map(upstream => ({
                 clause,
                 upstream: upstream.id,
-                value: valueOf(() => policy.rank(request, service, upstream)),
+                value: resultText(() => policy.rank(request, service, upstream)),
             }));
     }
 };
 
-const valueOf = (evaluateClause: () => unknown): string => {
+const resultText = (evaluateClause: () => unknown): string => {
     try {
         return String(evaluateClause());
     }
--- a/packages/command/src/version.ts
+++ b/packages/command/src/version.ts
@@ -1,10 +1,10 @@
 /**
- * The version of the command line.
+ * The version of the program.
  *
  * @packageDocumentation
  */
 
 import { createRequire } from "node:module";
 
-/** Version of this package, as its manifest says. */
+/** Version from the manifest of this package. */
 export const version: string = (createRequire(import.meta.url)("../../package.json") as { version: string; }).version;
--- a/packages/command/test/policies.test.ts
+++ b/packages/command/test/policies.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against changes of the decisions that the example policies make.
+ */
+
 import { decide } from "@harrierhitch/decision";
 import assert from "node:assert/strict";
 import { readFileSync } from "node:fs";
@@ -8,7 +12,7 @@
 
 interface Case {
     readonly policy: string;
-    /** Replacements in the scenario. */
+    /** Replacements in the text of the scenario. */
     readonly change?: readonly (readonly [string, string])[];
     readonly result: string;
 }
--- a/packages/configuration/src/check.ts
+++ b/packages/configuration/src/check.ts
@@ -1,5 +1,5 @@
 /**
- * Checking a document against its schema, with every finding placed.
+ * Validation of documents against a schema, with the location of each finding.
  *
  * @packageDocumentation
  */
@@ -10,20 +10,21 @@
 import type { IniDocument } from "./ini-document.js";
 import { unwrapSchema } from "./unwrap-schema.js";
 
-/** The result of a check: the value, or what is wrong. */
+/** The result of a check: the value if the document is valid, otherwise the findings. */
 export type CheckResult<Value> = { readonly value: Value; readonly findings: readonly []; } | {
     readonly value: undefined;
     readonly findings: readonly Finding[];
 };
 
-const closestDistance = 3;
+/** Maximum edit distance of a suggested name. */
+const maximumSuggestionDistance = 3;
 
 /**
  * Checks a document against a schema of sections.
  *
  * @param document - The document.
- * @param schema - The schema, an object of sections.
- * @returns The value, or all findings.
+ * @param schema - The schema: an object whose properties are the sections.
+ * @returns The value or all findings.
  */
 export const checkDocument = <Schema extends z.ZodObject>(
     document: IniDocument,
@@ -42,8 +43,8 @@
 const toFindings = (document: IniDocument, schema: z.ZodObject, issue: z.core.$ZodIssue): readonly Finding[] => {
     const path = issue.path.map(String);
     if (issue.code === "unrecognized_keys") {
-        const known = knownKeys(schema, path);
-        return issue.keys.map(name => unknownFinding(document, path, name, known));
+        const validNames = namesAt(schema, path);
+        return issue.keys.map(name => unknownNameFinding(document, path, name, validNames));
     }
     const isKey = issue.code !== "invalid_type" && (path.length > 1 || !path.some(name => isSection(document.values[name])));
     const section = isKey ? path.slice(0, -1).join(".") : path.join(".");
@@ -52,15 +53,15 @@
     return [{ file: document.file, section, key, line: document.lineOf(section, key), message }];
 };
 
-const unknownFinding = (
+const unknownNameFinding = (
     document: IniDocument,
     path: readonly string[],
     name: string,
-    known: readonly string[],
+    validNames: readonly string[],
 ): Finding => {
-    const closest = known
+    const closest = validNames
         .map(candidate => ({ candidate, edits: distance(candidate.toLowerCase(), name.toLowerCase()) }))
-        .filter(entry => entry.edits <= closestDistance)
+        .filter(entry => entry.edits <= maximumSuggestionDistance)
         .sort((a, b) => a.edits - b.edits)[0];
     const suggestion = closest === undefined ? "" : `; did you mean ${closest.candidate}?`;
     const unknownSection = path.length === 0 && isSection(document.values[name]);
@@ -75,7 +76,8 @@
 
 const isSection = (value: unknown): boolean => typeof value === "object" && value !== null;
 
-const knownKeys = (schema: z.ZodObject, path: readonly string[]): readonly string[] => {
+/** Returns the names that the schema allows at a path; none if the path allows any name. */
+const namesAt = (schema: z.ZodObject, path: readonly string[]): readonly string[] => {
     const inner = path.reduce<unknown>((outer, name) => childSchema(outer, name), schema);
     return inner !== undefined && "shape" in (inner as object) ? Object.keys((inner as z.ZodObject).shape) : [];
 };
--- a/packages/configuration/src/configuration.ts
+++ b/packages/configuration/src/configuration.ts
@@ -1,5 +1,5 @@
 /**
- * A published configuration, checked and joined.
+ * Parsing and validation of the published configuration.
  *
  * @packageDocumentation
  */
@@ -15,74 +15,71 @@
 import { checkPolicies, type ServicePolicy } from "./service-policy.js";
 import type { Service } from "./service.js";
 
-/** A configuration that passed all checks. */
+/** A valid configuration with all references resolved. */
 export interface Configuration {
     readonly generation: Generation;
-    /** SHA-256 of the document's text, in hexadecimal. */
+    /** SHA-256 hash of the document in hexadecimal. */
     readonly hash: string;
     readonly fleet: ConfigurationValues["fleet"];
     readonly services: ReadonlyMap<ServiceName, Service>;
     readonly callers: ConfigurationValues["callers"];
     readonly routes: readonly RouteGroup[];
-    /** Finds one of the routes. */
+    /** Matches requests to the routes. */
     readonly router: Router;
 }
 
-/** Largest published document, in bytes: the platform holds values up to a megabyte. */
+/** Maximum size of a published document in bytes; larger values cannot be stored on the platform. */
 export const maximumDocumentBytes = 1_048_576;
 
-/** What a configuration may build on besides its own text. */
+/** Definitions outside the document that its validation depends on. */
 export interface ConfigurationContext {
-    /** Policies that stand outside the document; its own go before them. */
+    /** Policies defined outside the document; policies of the document with the same name take precedence. */
     readonly policies?: ReadonlyMap<string, ServicePolicy>;
-    /** Whether upstreams are listed apart from the configuration, so that a service may name none. */
+    /** Whether upstreams come from service discovery, so that services may have no configured upstreams. */
     readonly discoversUpstreams?: boolean;
 }
 
 /**
- * Reads and checks a published configuration.
+ * Parses and checks a published configuration. The result depends only on the text, so that all instances agree on it.
  *
- * The result depends on the text and the context alone, so that every instance
- * judges a document alike.
- *
- * @param file - Name of the file or key, for findings.
- * @param text - The document's text.
+ * @param file - File name or key for findings.
+ * @param text - The text of the document.
  * @returns The configuration, or all findings.
  */
 export const checkConfiguration = (file: string, text: string): CheckResult<Configuration> =>
     checkDocumentSize(file, text) ?? checkParsedConfiguration(IniDocument.parse(file, text), lazyDocumentHash(text));
 
 /**
- * Checks the sections of a configuration that was published in another syntax.
+ * Checks a parsed configuration, which may have been published in a syntax other than INI.
  *
- * @param document - The sections.
- * @param hashOfText - Gives the hash of the published text when somebody asks for it.
- * @param context - What the configuration may build on.
+ * @param document - The parsed document.
+ * @param documentHash - Returns the hash of the published text; called when the hash is first read.
+ * @param context - Definitions outside the document.
  * @returns The configuration, or all findings.
  */
 export const checkParsedConfiguration = (
     document: IniDocument,
-    hashOfText: () => string,
+    documentHash: () => string,
     context: ConfigurationContext = {},
 ): CheckResult<Configuration> => {
     const checked = checkDocument(document, configurationSchema);
     if (checked.value === undefined) {
         return checked;
     }
-    const { policies: ownPolicies, findings: policyFindings } = checkPolicies(document, checked.value.policy);
-    const policies = new Map([...context.policies ?? [], ...ownPolicies]);
+    const { policies: documentPolicies, findings: policyFindings } = checkPolicies(document, checked.value.policy);
+    const policies = new Map([...context.policies ?? [], ...documentPolicies]);
     const findings = [...policyFindings, ...checkReferences(document, checked.value, context)];
     if (findings.length > 0) {
         return { value: undefined, findings };
     }
-    const configuration = join(hashOfText, checked.value, policies);
+    const configuration = resolveReferences(documentHash, checked.value, policies);
     const routeFindings = addRoutes(document, configuration);
     return routeFindings.length > 0
         ? { value: undefined, findings: routeFindings }
         : { value: configuration, findings: [] };
 };
 
-/** Says that a document is too large; `undefined` when it is not. */
+/** Returns a finding if a document exceeds {@link maximumDocumentBytes}, otherwise `undefined`. */
 export const checkDocumentSize = (file: string, text: string): CheckResult<never> | undefined => {
     if (Buffer.byteLength(text) <= maximumDocumentBytes) {
         return undefined;
@@ -92,8 +89,8 @@
 };
 
 /**
- * Gives the SHA-256 of a document's text in hexadecimal, worked out when it is first asked for: only other instances ask,
- * seconds after a start, and Node's cryptography takes a tenth of a start to load (29 of 333 ms, profiles of three starts).
+ * Returns a function that computes the SHA-256 hash of a document in hexadecimal on its first call. The delay keeps the
+ * loading of Node's cryptography out of the start.
  */
 export const lazyDocumentHash = (text: string): () => string => {
     let hash: string | undefined;
@@ -114,7 +111,7 @@
 const checkReferences = (
     document: IniDocument,
     values: ConfigurationValues,
-    { discoversUpstreams: listsUpstreams = false, policies }: ConfigurationContext,
+    { discoversUpstreams = false, policies }: ConfigurationContext,
 ): readonly Finding[] => {
     const finding = (section: string, key: string, message: string): Finding => {
         return { file: document.file, section, key, line: document.lineOf(section, key), message };
@@ -125,14 +122,14 @@
             : [finding(section, key, `there is no section [${target}.${name}]`)];
     const upstreams = Object.entries(values.upstream);
     const routes = Object.entries(values.route);
-    const sameUpstream = duplicatesIn(upstreams, other => `${other.address}:${other.port}`);
-    const sameRoute = duplicatesIn(routes, routeIdentity);
+    const sameUpstream = findDuplicates(upstreams, other => `${other.address}:${other.port}`);
+    const sameRoute = findDuplicates(routes, routeIdentity);
     return [
         ...Object.entries(values.service).flatMap(([name, service]) => [
             ...reference(`service.${name}`, "policy", "policy", service.policy),
-            ...(listsUpstreams || upstreams.some(([, upstream]) => upstream.service === name)
+            ...(discoversUpstreams || upstreams.some(([, upstream]) => upstream.service === name)
                 ? []
-                : [finding(`service.${name}`, "", "no upstream belongs to this service, so it would answer nothing")]),
+                : [finding(`service.${name}`, "", "no upstream belongs to this service, so all its requests would fail")]),
         ]),
         ...upstreams.flatMap(([name, upstream]) => [
             ...reference(`upstream.${name}`, "service", "service", upstream.service),
@@ -141,7 +138,7 @@
             ),
         ]),
         ...routes.flatMap(([name, route]) => [
-            ...parseDestinations(route.service).flatMap(({ service }) =>
+            ...parseServiceWeights(route.service).flatMap(({ service }) =>
                 reference(`route.${name}`, "service", "service", service)
             ),
             ...reference(`route.${name}`, "kind", "kind", route.kind),
@@ -150,15 +147,16 @@
         ...Object.entries(values.kind).flatMap(([name, kind]) =>
             kind.policy === undefined ? [] : reference(`kind.${name}`, "policy", "policy", kind.policy)
         ),
-        ...(routes.length === 0 ? [finding("", "", "there is no route, so every request would be refused")] : []),
+        ...(routes.length === 0 ? [finding("", "", "there is no route, so every request would be rejected")] : []),
     ];
 };
 
+/** Returns a key that is equal for routes that match the same requests; parameter names do not matter. */
 const routeIdentity = ({ method, host, path }: ConfigurationValues["route"][string]): string =>
     `${method} ${host} ${path.replace(/:[^/]+/g, ":")}`;
 
-/** Finds, for each entry, the first other one with the same identity. */
-const duplicatesIn = <Value>(
+/** Returns a function that gives, for the name of an entry, the name of an earlier entry with the same identity, if any. */
+const findDuplicates = <Value>(
     entries: readonly (readonly [string, Value])[],
     identity: (value: Value) => string,
 ): (name: string) => readonly string[] => {
@@ -176,20 +174,21 @@
     return name => [duplicates.get(name) ?? []].flat();
 };
 
-interface Destination {
+interface ServiceWeight {
     readonly service: string;
     readonly weight: number;
 }
 
-/** Reads the services of a route; one without a weight takes every request. */
-const parseDestinations = (text: string): readonly Destination[] =>
+/** Parses the services of a route; a single service without a weight receives all requests. */
+const parseServiceWeights = (text: string): readonly ServiceWeight[] =>
     text.split(",").map(part => {
         const [service = "", weight = "1"] = part.trim().split(":");
         return { service, weight: Number(weight) };
     });
 
-const join = (
-    hashOfText: () => string,
+/** Builds the configuration from checked values, replacing names by the sections that they refer to. */
+const resolveReferences = (
+    documentHash: () => string,
     values: ConfigurationValues,
     policies: ReadonlyMap<string, ServicePolicy>,
 ): Configuration => {
@@ -198,7 +197,7 @@
             const service: Service = {
                 ...section,
                 name: serviceName(name),
-                policy: defined(policies.get(section.policy)),
+                policy: assertDefined(policies.get(section.policy)),
                 shedStatuses: new Set(section.shedStatuses.split(",").map(Number)),
                 upstreams: Object.entries(values.upstream)
                     .filter(([, upstream]) => upstream.service === name)
@@ -208,23 +207,23 @@
         }),
     );
     const routes = Object.entries(values.route).map(([name, route]): RouteGroup => {
-        const { policy: policyName, ...section } = defined(values.kind[route.kind]);
+        const { policy: policyName, ...section } = assertDefined(values.kind[route.kind]);
         const kind = { ...section, name: route.kind };
         const { method, host, path } = route;
         const toRoute = (service: Service): Route => {
-            const policy = policyName === undefined ? service.policy : defined(policies.get(policyName));
+            const policy = policyName === undefined ? service.policy : assertDefined(policies.get(policyName));
             return { name, method, path, service, kind, policy };
         };
-        const choices = parseDestinations(route.service).map(({ service, weight }) => {
-            return { weight, route: toRoute(defined(services.get(serviceName(service)))) };
+        const destinations = parseServiceWeights(route.service).map(({ service, weight }) => {
+            return { weight, route: toRoute(assertDefined(services.get(serviceName(service)))) };
         });
-        return { name, method, host, path, destinations: choices };
+        return { name, method, host, path, destinations };
     });
     const { fleet, callers } = values;
     return {
         generation: generation(values.generation),
         get hash() {
-            return hashOfText();
+            return documentHash();
         },
         fleet,
         callers,
@@ -234,9 +233,10 @@
     };
 };
 
-const defined = <Value>(value: Value | undefined): Value => {
+/** Returns a value that the earlier checks guarantee to be defined. */
+const assertDefined = <Value>(value: Value | undefined): Value => {
     if (value === undefined) {
-        throw new TypeError("a reference was not checked");
+        throw new TypeError("a reference of the configuration is unresolved");
     }
     return value;
 };
--- a/packages/configuration/src/finding.ts
+++ b/packages/configuration/src/finding.ts
@@ -1,26 +1,26 @@
 /**
- * Findings: what is wrong with a settings file or a published configuration.
+ * Findings: errors in settings files, configurations and policies.
  *
  * @packageDocumentation
  */
 
-/** One thing that is wrong with a document, and where. */
+/** One error in a document, with its location. */
 export interface Finding {
-    /** Name of the file or of the platform's key. */
+    /** Name of the file, or the key on the platform. */
     readonly file: string;
-    /** Section, for example `service.seating`; empty for the top of the file. */
+    /** Section, for example `service.seating`; empty for the top level of the document. */
     readonly section: string;
-    /** Key in the section; empty when the finding is about the section. */
+    /** Key in the section; empty if the finding is about the section itself. */
     readonly key: string;
-    /** Line, from 1, where it is known. */
+    /** 1-based line; `undefined` if unknown. */
     readonly line: number | undefined;
-    /** What was found and what was expected. */
+    /** Description of the error, with the value found and the value expected where applicable. */
     readonly message: string;
 }
 
-/** Writes a finding on one line, as compilers do. */
+/** Formats a finding as one line: file, line, section, key and message. */
 export const formatFinding = (finding: Finding): string => {
-    const place = [finding.file, finding.line].filter(part => part !== undefined).join(":");
+    const location = [finding.file, finding.line].filter(part => part !== undefined).join(":");
     const name = [finding.section === "" ? "" : `[${finding.section}]`, finding.key].filter(part => part !== "").join(" ");
-    return `${place}: ${name === "" ? "" : `${name}: `}${finding.message}`;
+    return `${location}: ${name === "" ? "" : `${name}: `}${finding.message}`;
 };
--- a/packages/configuration/src/index.ts
+++ b/packages/configuration/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * Settings of a daemon and the published configuration: reading, checking and
- * reference.
+ * Parsing, validation and reference documentation of the daemon's settings and the
+ * published configuration.
  *
  * @packageDocumentation
  */
--- a/packages/configuration/src/ini-document.ts
+++ b/packages/configuration/src/ini-document.ts
@@ -1,8 +1,6 @@
 /**
- * INI documents that remember on which line each key stands.
- *
- * The library `ini` reads the values; this module only finds the lines, which
- * the library does not tell.
+ * INI documents with the line number of each key. The library `ini` parses the
+ * values; this module adds the line numbers, which the library does not provide.
  *
  * @packageDocumentation
  */
@@ -19,74 +17,73 @@
 /** An INI document with the lines of its sections and keys. */
 export class IniDocument {
     private constructor(
-        /** Name of the file, for findings. */
+        /** File name or key for findings. */
         readonly file: string,
-        /** The document's values. */
         readonly values: Readonly<Record<string, IniValue>>,
         private readonly lines: ReadonlyMap<string, number>,
-        /** Mistakes that the library would pass over: repeated keys, values cut by a comment sign. */
+        /** Errors that the library ignores: duplicate keys and values truncated by a comment character. */
         readonly syntaxFindings: readonly Finding[],
     ) {}
 
     /**
-     * Reads a document.
+     * Parses an INI document.
      *
-     * @param file - Name of the file, for findings.
-     * @param text - The document's text.
+     * @param file - File name or key for findings.
+     * @param text - The text of the document.
      */
     static parse(file: string, text: string): IniDocument {
         const lines = new Map<string, number>();
-        const mistakes: Finding[] = [];
+        const syntaxFindings: Finding[] = [];
         let section = "";
         text.split(/\r?\n/).forEach((content, index) => {
             const line = index + 1;
-            const opened = sectionLine.exec(content)?.[1];
+            const openedSection = sectionLine.exec(content)?.[1];
             const key = keyLine.exec(content)?.[1];
-            if (opened !== undefined) {
-                section = opened;
-                lines.set(place(section, ""), lines.get(place(section, "")) ?? line);
+            if (openedSection !== undefined) {
+                section = openedSection;
+                lines.set(locationKey(section, ""), lines.get(locationKey(section, "")) ?? line);
             }
             else if (key !== undefined) {
-                const first = lines.get(place(section, key));
-                if (isCutByComment(content)) {
-                    const message = "a comment sign cuts the text; put the whole value in double quotes or write \\; or \\#";
-                    mistakes.push({ file, section, key, line, message });
+                const firstLine = lines.get(locationKey(section, key));
+                if (isTruncatedByComment(content)) {
+                    const message = "a comment character truncates the value; put it in double quotes or write \\; or \\#";
+                    syntaxFindings.push({ file, section, key, line, message });
                 }
-                if (first === undefined) {
-                    lines.set(place(section, key), line);
+                if (firstLine === undefined) {
+                    lines.set(locationKey(section, key), line);
                 }
                 else {
-                    mistakes.push({ file, section, key, line, message: `given twice, first on line ${first}` });
+                    syntaxFindings.push({ file, section, key, line, message: `given twice, first on line ${firstLine}` });
                 }
             }
         });
-        return new IniDocument(file, parse(text), lines, mistakes);
+        return new IniDocument(file, parse(text), lines, syntaxFindings);
     }
 
     /**
-     * Takes values that were published in another syntax; their lines are unknown.
+     * Creates a document without line numbers from values that were published in another syntax.
      *
-     * @param file - Name of the file or key, for findings.
-     * @param values - The values, as an INI document would give them.
+     * @param file - File name or key for findings.
+     * @param values - The values in the form in which an INI document has them.
      */
     static fromValues(file: string, values: Readonly<Record<string, IniValue>>): IniDocument {
         return new IniDocument(file, values, new Map(), []);
     }
 
-    /** The line of a key, else of its section, else `undefined`. */
+    /** Returns the line of a key, or of its section if the key is absent, or `undefined` if both are. */
     lineOf(section: string, key: string): number | undefined {
-        return this.lines.get(place(section, key)) ?? this.lines.get(place(section, ""));
+        return this.lines.get(locationKey(section, key)) ?? this.lines.get(locationKey(section, ""));
     }
 }
 
-/** Whether a `;` or `#` inside a quoted text would end the value, as the library reads it. */
-const isCutByComment = (content: string): boolean => {
+/** Whether the library would end the value at a `;` or `#` inside quotes. */
+const isTruncatedByComment = (content: string): boolean => {
     const value = content.slice(content.indexOf("=") + 1).trim();
     if (/^"(?:[^"\\]|\\.)*"$/.test(value)) {
         return false;
     }
-    const kept = /^(?:[^;#\\]|\\.)*/.exec(value)?.[0] ?? "";
-    return kept.length < value.length && (kept.split("'").length % 2 === 0 || kept.split("\"").length % 2 === 0);
+    const parsed = /^(?:[^;#\\]|\\.)*/.exec(value)?.[0] ?? "";
+    return parsed.length < value.length && (parsed.split("'").length % 2 === 0 || parsed.split("\"").length % 2 === 0);
 };
 
-const place = (section: string, key: string): string => `${section}\n${key}`;
+const locationKey = (section: string, key: string): string => `${section}\n${key}`;
--- a/packages/configuration/src/invalid-document-error.ts
+++ b/packages/configuration/src/invalid-document-error.ts
@@ -1,5 +1,5 @@
 /**
- * The error of a document that does not pass its checks.
+ * The error for invalid documents.
  *
  * @packageDocumentation
  */
@@ -7,11 +7,11 @@
 import { HarrierhitchError } from "@harrierhitch/core";
 import { type Finding, formatFinding } from "./finding.js";
 
-/** A settings file or a configuration that was rejected, with all findings. */
+/** A settings file, configuration or other document is invalid; the message lists all findings. */
 export class InvalidDocumentError extends HarrierhitchError {
     readonly code = "invalid-document";
 
-    /** @param findings - Everything that is wrong, at least one finding. */
+    /** @param findings - The findings, at least one. */
     constructor(readonly findings: readonly Finding[]) {
         super(findings.map(formatFinding).join("\n"));
     }
--- a/packages/configuration/src/key.ts
+++ b/packages/configuration/src/key.ts
@@ -1,6 +1,6 @@
 /**
- * Builders for the keys of settings and configuration. Each key carries its
- * description, unit, range and default, from which the reference is made.
+ * Schema builders for the keys of settings and configuration. Each key has a description,
+ * unit, range and default, from which the reference documentation is generated.
  *
  * @packageDocumentation
  */
@@ -8,50 +8,51 @@
 import { isIP } from "node:net";
 import * as z from "zod";
 
-// Documents are few and checked once; compiling a checker for each schema would only delay a start.
+// Compiling the schemas would delay the start, and each document is checked only once.
 z.config({ jitless: true });
 
-/** What the reference says of a key. */
+/** Description of a key for the reference documentation. */
 export interface KeyDescription {
-    /** What the key is for. */
+    /** Purpose of the key. */
     readonly description: string;
-    /** What a value may be. */
+    /** Description of the valid values. */
     readonly expected: string;
     /** Unit of a number, for example `ms`. */
     readonly unit?: string;
-    /** Value used when the key is absent; without one the key is required, unless optional. */
+    /** Value of an absent key; a key without a default is required unless it is optional. */
     readonly defaultValue?: string | number | boolean;
-    /** Whether the key may be absent although it has no default. */
+    /** Whether the key may be absent without having a default. */
     readonly optional?: boolean;
 }
 
-/** Descriptions by schema, for the reference. */
+/** Key descriptions by schema. */
 export const keyDescriptions = z.registry<KeyDescription>();
 
 /** Options of every key. */
 export interface KeyOptions<Value> {
-    /** What the key is for, as a full sentence. */
+    /** Purpose of the key, ending with a full stop. */
     readonly description: string;
-    /** Value used when the key is absent; a key without a default is required. */
+    /** Value of an absent key; a key without a default is required. */
     readonly defaultValue?: Value;
 }
 
-/** Options of a key that holds a number. */
+/** Options of a number key. */
 export interface NumberKeyOptions extends KeyOptions<number> {
     readonly minimum: number;
     readonly maximum: number;
-    /** Unit of the number; absent for plain counts. */
+    /** Unit of the number; absent for counts. */
     readonly unit?: string;
 }
 
-type Read<Value> = (value: unknown) => Value | undefined;
+/** Converts a value of the document; returns `undefined` if it is invalid. */
+type Parse<Value> = (value: unknown) => Value | undefined;
 
-const key = <Value>(read: Read<Value>, expected: string, options: KeyOptions<Value>, unit?: string) => {
+const key = <Value>(parse: Parse<Value>, expected: string, options: KeyOptions<Value>, unit?: string) => {
     const schema = z.unknown().optional().transform((value, context): Value => {
         if (value === undefined && options.defaultValue !== undefined) {
             return options.defaultValue;
         }
-        const result = value === undefined ? undefined : read(value);
+        const result = value === undefined ? undefined : parse(value);
         if (result === undefined) {
             const found = value === undefined ? "the key is missing" : `found ${JSON.stringify(value)}`;
             context.addIssue({ code: "custom", message: `${found}, expected ${expected}` });
@@ -68,7 +69,7 @@
     return schema;
 };
 
-const readNumber = (options: NumberKeyOptions, pattern: RegExp): Read<number> => value => {
+const numberParser = (options: NumberKeyOptions, pattern: RegExp): Parse<number> => value => {
     const number = typeof value === "string" && pattern.test(value) ? Number(value) : NaN;
     return number >= options.minimum && number <= options.maximum ? number : undefined;
 };
@@ -76,30 +77,30 @@
 const range = (options: NumberKeyOptions): string =>
     `from ${options.minimum} to ${options.maximum}${options.unit === undefined ? "" : ` (${options.unit})`}`;
 
-/** A key that holds a whole number. */
+/** Key for an integer. */
 export const integerKey = (options: NumberKeyOptions) =>
-    key(readNumber(options, /^\d+$/), `a whole number ${range(options)}`, options, options.unit);
+    key(numberParser(options, /^\d+$/), `a whole number ${range(options)}`, options, options.unit);
 
-/** A key that holds a time in milliseconds; a unit may follow the number, as in `2500ms` or `2.5s`. */
+/** Key for a time in milliseconds; the number may have a unit, as in `2500ms` or `2.5s`. */
 export const millisecondsKey = (options: Omit<NumberKeyOptions, "unit">) => {
-    const described = { ...options, unit: "ms" };
-    const read: Read<number> = value => {
+    const optionsWithUnit = { ...options, unit: "ms" };
+    const parse: Parse<number> = value => {
         const [, number, unit] = /^(\d+(?:\.\d+)?)(ms|s)?$/.exec(typeof value === "string" ? value : "") ?? [];
         const timeMs = Number(number) * (unit === "s" ? 1000 : 1);
         return timeMs >= options.minimum && timeMs <= options.maximum ? timeMs : undefined;
     };
-    return key(read, `a time ${range(described)}, as 2500, 2500ms or 2.5s`, described, "ms");
+    return key(parse, `a time ${range(optionsWithUnit)}, as 2500, 2500ms or 2.5s`, optionsWithUnit, "ms");
 };
 
-/** A key that holds a number with an optional fraction. */
+/** Key for a number with an optional fraction. */
 export const numberKey = (options: NumberKeyOptions) =>
-    key(readNumber(options, /^\d+(\.\d+)?$/), `a number ${range(options)}`, options, options.unit);
+    key(numberParser(options, /^\d+(\.\d+)?$/), `a number ${range(options)}`, options, options.unit);
 
-/** A key that holds `true` or `false`. */
+/** Key for `true` or `false`. */
 export const booleanKey = (options: KeyOptions<boolean>) =>
     key<boolean>(value => typeof value === "boolean" ? value : undefined, "true or false", options);
 
-/** A key that holds text of one form. */
+/** Key for text, optionally restricted to a pattern. */
 export const textKey = (options: KeyOptions<string> & { readonly expected?: string; readonly pattern?: RegExp; }) =>
     key(
         value => typeof value === "string" && (options.pattern ?? /./).test(value) ? value : undefined,
@@ -107,15 +108,15 @@
         options,
     );
 
-/** A key that names something in the same document. */
+/** Key for a name, for example of a section in the same document. */
 export const nameKey = (options: KeyOptions<string>) =>
     textKey({ ...options, expected: "a name of lower-case letters, digits and hyphens", pattern: namePattern });
 
-/** A key that holds an IP number. */
+/** Key for an IP address. */
 export const addressKey = (options: KeyOptions<string>) =>
     key(value => typeof value === "string" && isIP(value) !== 0 ? value : undefined, "an IP number", options);
 
-/** A key that holds an IP number, or an IP number and a port as `IP:port`. */
+/** Key for an IP address, optionally with a port as `IP:port`. */
 export const endpointKey = (options: KeyOptions<string>) =>
     key(
         value => typeof value === "string" && (parseEndpoint(value) !== undefined || isIP(value) !== 0) ? value : undefined,
@@ -123,24 +124,24 @@
         options,
     );
 
-/** An address with its port. */
+/** An IP address and a port. */
 export interface Endpoint {
     readonly address: string;
     readonly port: number;
 }
 
-/** Reads `IP:port`; `undefined` when the text is none. */
+/** Parses `IP:port`; returns `undefined` if the text has another form. */
 export const parseEndpoint = (text: string): Endpoint | undefined => {
     const [, address = "", port = ""] = /^(.+):(\d{1,5})$/.exec(text.trim()) ?? [];
-    const plain = address.replace(/^\[(.*)\]$/, "$1");
-    return isIP(plain) !== 0 && Number(port) <= 65_535 ? { address: plain, port: Number(port) } : undefined;
+    const withoutBrackets = address.replace(/^\[(.*)\]$/, "$1");
+    return isIP(withoutBrackets) !== 0 && Number(port) <= 65_535 ? { address: withoutBrackets, port: Number(port) } : undefined;
 };
 
-/** A key that holds one of a few words. */
+/** Key for one of several given values. */
 export const choiceKey = <Choice extends string>(choices: readonly Choice[], options: KeyOptions<Choice>) =>
     key(value => choices.find(choice => choice === value), `one of ${choices.join(", ")}`, options);
 
-/** A text key that may be absent. */
+/** Key for text that may be absent. */
 export const optionalTextKey = (options: { readonly description: string; readonly expected?: string; }) => {
     const expected = options.expected ?? "text";
     const schema = z.unknown().optional().transform((value, context): string | undefined => {
@@ -154,8 +155,8 @@
     return schema;
 };
 
-/** The form of names in settings and configuration. */
+/** Pattern of names in settings and configuration. */
 export const namePattern = /^[a-z0-9]([a-z0-9-]*[a-z0-9])?$/;
 
-/** A section that may be absent because each of its keys has a default or is optional. */
+/** Section that may be absent, because all of its keys have a default or are optional. */
 export const optionalSection = <Shape extends z.core.$ZodLooseShape>(shape: Shape) => z.strictObject(shape).prefault({} as never);
--- a/packages/configuration/src/policy-schema.ts
+++ b/packages/configuration/src/policy-schema.ts
@@ -1,5 +1,5 @@
 /**
- * The schema of policies.
+ * The schema of policy sections.
  *
  * @packageDocumentation
  */
@@ -7,7 +7,7 @@
 import * as z from "zod";
 import { choiceKey, integerKey, namePattern, optionalTextKey } from "./key.js";
 
-/** Names of the choosers that a policy can pick. */
+/** Names of the choosers that a policy can use. */
 export const chooserNames = [
     "adaptive",
     "expected-time",
@@ -22,56 +22,56 @@
 /** Name of a chooser. */
 export type ChooserName = typeof chooserNames[number];
 
-/** Sections with names of their own, for example `[policy.main]`. */
+/** Schema of sections whose names are set by the operator, for example `[policy.main]`. */
 export const namedSections = <Section extends z.ZodObject>(section: Section) =>
     z.record(z.string().regex(namePattern, "expected a name of lower-case letters, digits and hyphens"), section);
 
-/** Schema of the policies of a document. */
+/** Schema of all policy sections of a document. */
 export const policySectionsSchema = namedSections(z.strictObject({
     refuse: optionalTextKey({
-        description: "Text expression; a text that is not empty refuses the request with that reason.",
+        description: "Text expression; if the result is not empty, the request is refused with it as the reason.",
     }),
     refuseRetryAfterMs: integerKey({
-        description: "When a caller that was refused should come back.",
+        description: "Retry-After for refused requests.",
         unit: "ms",
         minimum: 0,
         maximum: 3_600_000,
         defaultValue: 1000,
     }),
     refuseRetryAfterPercent: integerKey({
-        description: "When such a caller should come back, as a share of its target latency; 0 for refuseRetryAfterMs.",
+        description: "Retry-After for refused requests, as a share of the target latency; 0 to use refuseRetryAfterMs.",
         unit: "%",
         minimum: 0,
         maximum: 10_000,
         defaultValue: 0,
     }),
-    hold: optionalTextKey({ description: "True or false expression; while true the request is held back." }),
+    hold: optionalTextKey({ description: "True or false expression; while it is true, the request waits in the queue." }),
     maximumHoldPercent: integerKey({
-        description:
-            "Longest time for which a request is held back, as a share of its target latency; 0 for the service's limit.",
+        description: "Maximum time in the queue, as a share of the target latency; 0 to use the service's limit.",
         unit: "%",
         minimum: 0,
         maximum: 1000,
         defaultValue: 0,
     }),
-    filter: optionalTextKey({ description: "True or false expression for one candidate; false leaves it out." }),
-    rank: optionalTextKey({ description: "Number expression for one candidate; lower is better." }),
-    chooser: choiceKey(chooserNames, { description: "How one of the candidates is picked.", defaultValue: "adaptive" }),
+    filter: optionalTextKey({ description: "True or false expression for one candidate; false excludes the candidate." }),
+    rank: optionalTextKey({ description: "Number expression for one candidate; a lower result is better." }),
+    chooser: choiceKey(chooserNames, { description: "How one of the candidates is selected.", defaultValue: "adaptive" }),
     probeCandidates: integerKey({
-        description: "How many of the best candidates are asked for their load just before the choice; 0 asks none.",
+        description: "Number of best candidates that are probed for their load before the selection; 0 disables probes.",
         minimum: 0,
         maximum: 16,
         defaultValue: 0,
     }),
     probeTimeoutMs: integerKey({
-        description: "Longest time for which a choice waits for answers to its probes.",
+        description: "Maximum time for which the selection waits for probe responses.",
         unit: "ms",
         minimum: 1,
         maximum: 1000,
         defaultValue: 12,
     }),
     hedgePercent: integerKey({
-        description: "When a second attempt of a repeatable request begins, as a share of its target latency; 0 begins none.",
+        description:
+            "Delay before a hedged attempt of a repeatable request, as a share of the target latency; 0 disables hedging.",
         unit: "%",
         minimum: 0,
         maximum: 1000,
--- a/packages/configuration/src/reference.ts
+++ b/packages/configuration/src/reference.ts
@@ -1,5 +1,5 @@
 /**
- * The reference of a document's keys, made from its schema.
+ * Reference documentation of a document's keys, generated from its schema.
  *
  * @packageDocumentation
  */
@@ -8,14 +8,14 @@
 import { type KeyDescription, keyDescriptions } from "./key.js";
 import { unwrapSchema } from "./unwrap-schema.js";
 
-/** One section of a document and its keys. */
+/** A section of a document and its keys. */
 export interface ReferenceSection {
-    /** Name, for example `callers` or `service.NAME`; empty for the top of the file. */
+    /** Name, for example `callers` or `service.NAME`; empty for the top level of the document. */
     readonly name: string;
     readonly keys: readonly (KeyDescription & { readonly key: string; })[];
 }
 
-/** Lists the sections and keys of a schema. */
+/** Returns the sections and keys of a schema. */
 export const referenceOf = (schema: z.ZodObject): readonly ReferenceSection[] => sectionsOf("", schema);
 
 const sectionsOf = (name: string, schema: z.ZodObject): readonly ReferenceSection[] => {
@@ -37,7 +37,7 @@
     return schema !== undefined && "valueType" in schema ? childSections(`${name}.NAME`, unwrapSchema(schema.valueType)) : [];
 };
 
-/** Writes the reference as Markdown. */
+/** Formats the reference documentation of a schema as Markdown. */
 export const referenceMarkdown = (title: string, introduction: string, schema: z.ZodObject): string => {
     const sections = referenceOf(schema).map(section =>
         [
--- a/packages/configuration/src/route.ts
+++ b/packages/configuration/src/route.ts
@@ -1,5 +1,5 @@
 /**
- * Routes as configured.
+ * Routes of the configuration.
  *
  * @packageDocumentation
  */
@@ -8,7 +8,7 @@
 import type { ServicePolicy } from "./service-policy.js";
 import type { Service } from "./service.js";
 
-/** A kind of request. */
+/** A configured kind of request with its timeouts, priority and weight. */
 export type RequestKind = Omit<ConfigurationValues["kind"][string], "policy"> & { readonly name: string; };
 
 /** A route to one service. */
@@ -18,36 +18,36 @@
     readonly path: string;
     readonly service: Service;
     readonly kind: RequestKind;
-    /** The policy that decides: the kind's, or else the service's. */
+    /** Policy of the request kind, or of the service if the kind has none. */
     readonly policy: ServicePolicy;
 }
 
-/** One of the services of a route. */
+/** A destination of a route group with its share of the requests. */
 export interface WeightedRoute {
     readonly weight: number;
     readonly route: Route;
 }
 
-/** A route as requests are matched to it, with one service or several that share its requests. */
+/** A configured route that requests are matched against, with one or more destination services. */
 export interface RouteGroup {
     readonly name: string;
     readonly method: Route["method"];
-    /** Host in lower case; empty for every host. */
+    /** Host in lower case; empty to match every host. */
     readonly host: string;
     readonly path: string;
-    /** At least one. */
+    /** Destination services with their weights; at least one. */
     readonly destinations: readonly WeightedRoute[];
 }
 
 /**
- * Picks the service of one request.
+ * Selects the destination of a request by weight.
  *
- * @param group - The route that matched.
- * @param draw - A number of at least 0 and below 1; evenly spread draws give each service its share.
- * @returns The route to that service; `undefined` when every weight is 0.
+ * @param group - The route group that matched.
+ * @param sample - Number in the range [0, 1); uniformly distributed samples select destinations in proportion to weight.
+ * @returns The route to the selected service, or `undefined` if all weights are 0.
  */
-export const selectRoute = ({ destinations: choices }: RouteGroup, draw: number): Route | undefined => {
-    const total = choices.reduce((sum, choice) => sum + choice.weight, 0);
-    let left = draw * total;
-    return choices.find(choice => (left -= choice.weight) < 0)?.route;
+export const selectRoute = ({ destinations }: RouteGroup, sample: number): Route | undefined => {
+    const totalWeight = destinations.reduce((sum, { weight }) => sum + weight, 0);
+    let remainingWeight = sample * totalWeight;
+    return destinations.find(({ weight }) => (remainingWeight -= weight) < 0)?.route;
 };
--- a/packages/configuration/src/router.ts
+++ b/packages/configuration/src/router.ts
@@ -1,5 +1,5 @@
 /**
- * Finding the route of a request.
+ * Matches requests to routes.
  *
  * @packageDocumentation
  */
@@ -9,17 +9,17 @@
 import { anyMethod } from "./configuration-schema.js";
 import type { RouteGroup } from "./route.js";
 
-/** Finds routes by host, method and path. */
+/** Matches requests to routes by host, method and path. */
 export class Router {
-    /** Routes of one method with a path pattern, by host; the empty host takes every request. */
+    /** Routes with a path pattern and a single method, by host; the empty host matches every request. */
     private readonly patterns = new Map<string, findMyWay.Instance<findMyWay.HTTPVersion.V1>>();
-    /** Routes of every method, by host and beginning of the path. */
+    /** Routes for all methods, by host and path prefix. */
     private readonly prefixes = new Map<string, RouteGroup>();
 
     /**
      * Adds a route.
      *
-     * @returns What is wrong with its path, if anything.
+     * @returns An error message if the path is invalid or ambiguous, otherwise `undefined`.
      */
     add(route: RouteGroup): string | undefined {
         if (route.method === anyMethod) {
@@ -35,12 +35,13 @@
     }
 
     /**
-     * Finds the route of a request. A route for the request's host goes before
-     * one for every host, the longest beginning of the path before shorter ones.
+     * Finds the route of a request. A route for the request's host takes precedence over routes
+     * for every host, and a longer path prefix over a shorter one.
      *
-     * @param method - HTTP method in capitals; `HEAD` falls back to `GET`.
+     * @param method - HTTP method in upper case; `HEAD` falls back to `GET`.
      * @param host - Host in lower case, without the port.
      * @param path - Path without the query.
+     * @returns The route, or `undefined` if none matches.
      */
     find(method: string, host: string, path: string): RouteGroup | undefined {
         return this.findAt(method, host, path) ?? (host === "" ? undefined : this.findAt(method, "", path));
@@ -70,7 +71,7 @@
 
     private addPrefix(route: RouteGroup): string | undefined {
         if (!route.path.endsWith("/")) {
-            return `a route of the method ${anyMethod} needs a path that ends with /`;
+            return `the path of a route with the method ${anyMethod} must end with /`;
         }
         const key = prefixKey(route.host, route.path);
         if (this.prefixes.has(key)) {
@@ -81,13 +82,13 @@
     }
 
     private patternsOf(host: string): findMyWay.Instance<findMyWay.HTTPVersion.V1> {
-        const known = this.patterns.get(host) ?? findMyWay({ ignoreTrailingSlash: false, maxParamLength: 1024 });
-        this.patterns.set(host, known);
-        return known;
+        const patterns = this.patterns.get(host) ?? findMyWay({ ignoreTrailingSlash: false, maxParamLength: 1024 });
+        this.patterns.set(host, patterns);
+        return patterns;
     }
 }
 
 const prefixKey = (host: string, prefix: string): string => `${host} ${prefix}`;
 
-/** The library calls handlers; here only the route beside it is used. */
+/** The library requires a handler; only the route stored with it is used. */
 const unusedHandler = (): void => undefined;
--- a/packages/configuration/src/service-policy.ts
+++ b/packages/configuration/src/service-policy.ts
@@ -1,5 +1,5 @@
 /**
- * Policies as sections of a configuration.
+ * Validation of the policies of a configuration or policy file.
  *
  * @packageDocumentation
  */
@@ -12,25 +12,25 @@
 import { IniDocument } from "./ini-document.js";
 import { type ChooserName, policySectionsSchema } from "./policy-schema.js";
 
-/** A policy in force, with the chooser it picks. */
+/** A checked policy with its chooser and timing parameters. */
 export interface ServicePolicy {
     readonly policy: Policy;
     readonly chooser: ChooserName;
-    /** When a caller that was refused should come back, in milliseconds. */
+    /** Retry-After of refused requests in milliseconds. */
     readonly refuseRetryAfterMs: number;
-    /** The same as a share of the request's target latency, in hundredths; 0 for the fixed time. */
+    /** Retry-After of refused requests in percent of the target latency; 0 to use `refuseRetryAfterMs`. */
     readonly refuseRetryAfterPercent: number;
-    /** Longest time for which a request is held back, in hundredths of its target latency; 0 for the service's limit. */
+    /** Maximum time in the queue in percent of the target latency; 0 to use the service's limit. */
     readonly maximumHoldPercent: number;
-    /** Candidates that are asked for their load before the choice. */
+    /** Number of candidates that are probed for their load before a selection. */
     readonly probeCandidates: number;
-    /** Longest time for which the choice waits for them, in milliseconds. */
+    /** Maximum time to wait for these probes in milliseconds. */
     readonly probeTimeoutMs: number;
-    /** When a second attempt begins, in hundredths of the target latency; 0 for never. */
+    /** Delay before a hedged attempt in percent of the target latency; 0 disables hedging. */
     readonly hedgePercent: number;
 }
 
-/** Checks the policies of a document; gives those that pass, by name, and what is wrong with the others. */
+/** Checks the policies of a document; returns the valid ones by name and the findings for the others. */
 export const checkPolicies = (document: IniDocument, values: ConfigurationValues["policy"]) => {
     const policies = new Map<string, ServicePolicy>();
     const findings = Object.entries(values).flatMap(([name, section]): readonly Finding[] => {
@@ -44,14 +44,14 @@
     return { policies, findings };
 };
 
-/** Schema of a file that holds nothing but policies. */
+/** Schema of a file that contains only policies. */
 export const policyFileSchema = z.strictObject({ policy: policySectionsSchema });
 
 /**
- * Reads and checks a file of policies, for configurations that name them.
+ * Parses and checks a file of policies that configurations can refer to.
  *
- * @param file - Name of the file, for findings.
- * @param text - The file's text.
+ * @param file - File name for findings.
+ * @param text - The text of the file.
  * @returns The policies by name, or all findings.
  */
 export const checkPolicyFile = (file: string, text: string): CheckResult<ReadonlyMap<string, ServicePolicy>> => {
@@ -69,11 +69,11 @@
     name: string,
     section: ConfigurationValues["policy"][string],
 ): PolicySource => {
-    const given = clauseNames.filter(clause => section[clause] !== undefined);
+    const definedClauses = clauseNames.filter(clause => section[clause] !== undefined);
     return {
         name,
-        clauses: Object.fromEntries(given.map(clause => [clause, section[clause]])),
-        lines: Object.fromEntries(given.map(clause => [clause, document.lineOf(`policy.${name}`, clause)])),
+        clauses: Object.fromEntries(definedClauses.map(clause => [clause, section[clause]])),
+        lines: Object.fromEntries(definedClauses.map(clause => [clause, document.lineOf(`policy.${name}`, clause)])),
     };
 };
 
--- a/packages/configuration/src/service.ts
+++ b/packages/configuration/src/service.ts
@@ -1,5 +1,5 @@
 /**
- * Services as configured.
+ * Services of the configuration.
  *
  * @packageDocumentation
  */
@@ -9,7 +9,7 @@
 import type { ServicePolicy } from "./service-policy.js";
 import type { Upstream } from "./upstream.js";
 
-/** A service with its policy and the upstreams that the configuration itself names. */
+/** A configured service with its policy and its statically configured upstreams. */
 export interface Service extends Omit<ConfigurationValues["service"][string], "policy" | "shedStatuses"> {
     readonly name: ServiceName;
     readonly policy: ServicePolicy;
--- a/packages/configuration/src/settings-bounds.ts
+++ b/packages/configuration/src/settings-bounds.ts
@@ -1,21 +1,21 @@
 /**
- * The section of the settings with what the fleet as a whole has to keep.
+ * The settings section for the propagation time bounds of the fleet.
  *
  * @packageDocumentation
  */
 
 import { millisecondsKey, optionalSection } from "./key.js";
 
-/** Times within which what the platform publishes has to be known on every instance. */
+/** Maximum times for published changes to reach every instance. */
 export const boundsSection = optionalSection({
     departureMs: millisecondsKey({
-        description: "Longest time from the publication that an upstream leaves until no instance sends it anything new.",
+        description: "Maximum time from publishing that an upstream is draining until no instance sends it new requests.",
         minimum: 1500,
         maximum: 60_000,
         defaultValue: 2000,
     }),
     configurationMs: millisecondsKey({
-        description: "Longest time from the publication of a configuration until it is in force on every instance.",
+        description: "Maximum time from publishing a configuration until it is active on every instance.",
         minimum: 1500,
         maximum: 60_000,
         defaultValue: 2000,
--- a/packages/configuration/src/settings-keys.ts
+++ b/packages/configuration/src/settings-keys.ts
@@ -1,25 +1,25 @@
 /**
- * Keys that several sections of the settings share.
+ * Keys that several settings sections share.
  *
  * @packageDocumentation
  */
 
 import { booleanKey, integerKey, optionalTextKey, textKey } from "./key.js";
 
-/** A port; 0 stands for a free one, or for the port that the address names. */
+/** Key for a port; 0 selects a free port, or the port of the address if it has one. */
 export const portKey = (description: string) => integerKey({ description, minimum: 0, maximum: 65535, defaultValue: 0 });
 
-/** Whether a side may do without TLS outside loopback. */
+/** Key that allows a listener outside loopback to run without TLS. */
 export const trustsNetworkKey = booleanKey({
-    description: "Whether to serve without TLS outside loopback, because nobody else reaches this network.",
+    description: "Whether to serve without TLS outside loopback, because the network is trusted.",
     defaultValue: false,
 });
 
-/** A key that holds a list of `IP:port`. */
+/** Key for a list of `IP:port` pairs. */
 export const endpointsKey = (options: { readonly description: string; readonly defaultValue?: string; }) =>
     textKey({ ...options, expected: "IP:port pairs separated by commas", pattern: /^([^,\s]+:\d+(\s*,\s*[^,\s]+:\d+)*)?$/ });
 
-/** Keys of the files of a side that may be served with TLS. */
+/** Keys for the TLS files of a listener. */
 export const tlsKeys = {
     certificateFile: optionalTextKey({
         description: "PEM file with the certificate; TLS is on when it is set.",
@@ -27,7 +27,7 @@
     }),
     keyFile: optionalTextKey({ description: "PEM file with the certificate's private key.", expected: "a path" }),
     authorityFile: optionalTextKey({
-        description: "PEM file with the authorities whose client certificates are admitted.",
+        description: "PEM file with the certificate authorities whose client certificates are accepted.",
         expected: "a path",
     }),
 };
--- a/packages/configuration/src/settings-schema.ts
+++ b/packages/configuration/src/settings-schema.ts
@@ -1,5 +1,5 @@
 /**
- * The schema of the settings of one daemon.
+ * The schema of the daemon's settings.
  *
  * @packageDocumentation
  */
@@ -12,41 +12,41 @@
 /** Schema of the settings file. */
 export const settingsSchema = z.strictObject({
     instance: z.strictObject({
-        id: nameKey({ description: "Name of this instance, the one that the instance list uses." }),
+        id: nameKey({ description: "Name of this instance, as in the instance list." }),
         availabilityZone: nameKey({ description: "Availability zone in which this instance runs." }),
     }),
     callers: z.strictObject({
-        address: endpointKey({ description: "IP number on which callers are served." }),
-        port: portKey("Port on which callers are served; 0 takes a free one."),
+        address: endpointKey({ description: "IP address on which callers are served." }),
+        port: portKey("Port on which callers are served; 0 selects a free port."),
         maximumConnections: integerKey({
-            description: "Most connections of callers at the same time; further ones are closed.",
+            description: "Maximum number of caller connections; further connections are closed.",
             minimum: 1,
             maximum: 100_000,
             defaultValue: 10_000,
         }),
         maximumHeaderBytes: integerKey({
-            description: "Largest request head.",
+            description: "Maximum size of a request head.",
             unit: "bytes",
             minimum: 1024,
             maximum: 262_144,
             defaultValue: 16_384,
         }),
         maximumBodyBytes: integerKey({
-            description: "Largest request body; a larger one is refused with 413.",
+            description: "Maximum size of a request body; larger requests are rejected with 413.",
             unit: "bytes",
             minimum: 0,
             maximum: 10_737_418_240,
             defaultValue: 104_857_600,
         }),
         headersTimeoutMs: integerKey({
-            description: "Longest time for a caller to send its request head.",
+            description: "Maximum time for a caller to send the request head.",
             unit: "ms",
             minimum: 100,
             maximum: 600_000,
             defaultValue: 10_000,
         }),
         bodyTimeoutMs: integerKey({
-            description: "Longest time for a caller to send its whole request.",
+            description: "Maximum time for a caller to send the complete request.",
             unit: "ms",
             minimum: 100,
             maximum: 3_600_000,
@@ -62,32 +62,37 @@
         ...tlsKeys,
     }),
     operators: z.strictObject({
-        address: endpointKey({ description: "IP number on which operators are served." }),
-        port: portKey("Port on which operators are served; 0 takes a free one."),
+        address: endpointKey({ description: "IP address on which operators are served." }),
+        port: portKey("Port on which operators are served; 0 selects a free port."),
         trustsNetwork: trustsNetworkKey,
         ...tlsKeys,
     }),
     ready: z.strictObject({
-        address: endpointKey({ description: "IP number on which the balancer in front asks for readiness." }),
-        port: portKey("Port on which it asks; 0 takes a free one."),
-        path: textKey({ description: "Path that it asks for.", defaultValue: "/readyz", expected: "a path", pattern: /^\// }),
+        address: endpointKey({ description: "IP address of the readiness endpoint for the balancer in front." }),
+        port: portKey("Port of the readiness endpoint; 0 selects a free port."),
+        path: textKey({
+            description: "Path of the readiness endpoint.",
+            defaultValue: "/readyz",
+            expected: "a path",
+            pattern: /^\//,
+        }),
     }).optional(),
     peers: z.strictObject({
-        address: endpointKey({ description: "IP number on which other instances are served, as the instance list names it." }),
-        port: portKey("Port on which other instances are served; 0 takes a free one."),
+        address: endpointKey({ description: "IP address on which other instances are served, as in the instance list." }),
+        port: portKey("Port on which other instances are served; 0 selects a free port."),
         trustsNetwork: trustsNetworkKey,
-        seeds: endpointsKey({ description: "Instances that are asked first for the others.", defaultValue: "" }),
+        seeds: endpointsKey({ description: "Instances that are contacted first to discover the others.", defaultValue: "" }),
         joinDelayMs: integerKey({
-            description: "Time for which an instance that starts serves alone before it talks to the others.",
+            description: "Time after the start for which the instance serves alone before it contacts other instances.",
             unit: "ms",
             minimum: 0,
             maximum: 600_000,
             defaultValue: 0,
         }),
-        fleet: nameKey({ description: "Name of the fleet; instances of another fleet are refused." }),
+        fleet: nameKey({ description: "Name of the fleet; instances of other fleets are rejected." }),
         hearTimeoutMs: integerKey({
             description:
-                "Longest time for which a new instance waits for other instances before it serves although it heard none.",
+                "Maximum time for which a new instance waits for contact with other instances before it serves without it.",
             unit: "ms",
             minimum: 0,
             maximum: 600_000,
@@ -102,21 +107,21 @@
             defaultValue: "configuration",
         }),
         readTimeoutMs: integerKey({
-            description: "Longest time for one read.",
+            description: "Maximum time for one read.",
             unit: "ms",
             minimum: 10,
             maximum: 60_000,
             defaultValue: 1000,
         }),
         watchMs: integerKey({
-            description: "Time for which one watch waits for a change.",
+            description: "Time for which a watch request waits for a change.",
             unit: "ms",
             minimum: 100,
             maximum: 300_000,
             defaultValue: 20_000,
         }),
         retryMs: integerKey({
-            description: "Time between two tries while the service is down; each try is up to 50 % earlier or later.",
+            description: "Time between two attempts while the service is unavailable, with a jitter of up to 50 %.",
             unit: "ms",
             minimum: 10,
             maximum: 60_000,
@@ -126,43 +131,43 @@
     bounds: boundsSection,
     limits: optionalSection({
         recordEntries: integerKey({
-            description: "Most decisions kept for explanations.",
+            description: "Maximum number of decisions stored for explanations.",
             minimum: 10,
             maximum: 1_000_000,
             defaultValue: 20_000,
         }),
         recordBytes: integerKey({
-            description: "Most memory for decisions kept for explanations.",
+            description: "Maximum memory for decisions stored for explanations.",
             unit: "bytes",
             minimum: 65_536,
             maximum: 1_073_741_824,
             defaultValue: 16_777_216,
         }),
         replayBodyBytes: integerKey({
-            description:
-                "Largest request body that is kept so that it can be sent again; larger ones are streamed and sent once.",
+            description: "Maximum size of a request body that is buffered for retries; larger bodies are streamed and sent once.",
             unit: "bytes",
             minimum: 0,
             maximum: 1_048_576,
             defaultValue: 65_536,
         }),
         answerBufferBytes: integerKey({
-            description: "Largest answer that is kept back until it is whole, so that a broken one can be replaced; "
-                + "larger ones are passed on as they arrive.",
+            description:
+                "Maximum size of a response that is buffered until it is complete, so that a broken one can be replaced; "
+                + "larger ones are streamed.",
             unit: "bytes",
             minimum: 0,
             maximum: 16_777_216,
             defaultValue: 0,
         }),
         stopDelayMs: integerKey({
-            description: "Time between turning readiness off and closing the callers' port in a planned stop.",
+            description: "Time between reporting not ready and closing the callers' port in a planned stop.",
             unit: "ms",
             minimum: 0,
             maximum: 600_000,
             defaultValue: 5000,
         }),
         stopTimeoutMs: integerKey({
-            description: "Longest time for requests in flight to finish in a planned stop.",
+            description: "Maximum time for requests in flight to finish in a planned stop.",
             unit: "ms",
             minimum: 0,
             maximum: 3_600_000,
@@ -171,18 +176,17 @@
     }),
     budgets: z.strictObject({
         retryShare: numberKey({
-            description:
-                "Attempts beyond the first of each request that the whole fleet may make, as a share of a service's requests.",
+            description: "Maximum attempts of the fleet beyond the first of each request, as a share of a service's requests.",
             minimum: 0,
             maximum: 1,
         }),
         retrySlack: numberKey({
-            description: "Attempts beyond the first that the whole fleet may make on top of that share, for each service.",
+            description: "Maximum burst of attempts of the fleet beyond that share, for each service.",
             minimum: 0,
             maximum: 1_000_000,
         }),
         probesPerSecond: numberKey({
-            description: "Probes of one upstream that the whole fleet may make.",
+            description: "Maximum rate of probes from the fleet to one upstream.",
             unit: "1/s",
             minimum: 0,
             maximum: 100_000,
@@ -190,17 +194,17 @@
     }).optional(),
     policies: optionalSection({
         file: optionalTextKey({
-            description: "INI file with policies that every configuration may name.",
+            description: "INI file with policies that every configuration can refer to.",
             expected: "a path",
         }),
     }),
     log: optionalSection({
         level: choiceKey(["debug", "info", "warn", "error"], {
-            description: "Lowest level of events that are logged.",
+            description: "Minimum level of events that are logged.",
             defaultValue: "info",
         }),
         linesPerSecond: integerKey({
-            description: "Most lines; further ones are dropped and counted.",
+            description: "Maximum rate of log lines; further lines are dropped and counted.",
             unit: "1/s",
             minimum: 1,
             maximum: 100_000,
@@ -213,7 +217,7 @@
             expected: "a URL with an IP number",
         }),
         queueSpans: integerKey({
-            description: "Most finished spans that wait for export; further ones are dropped and counted.",
+            description: "Maximum number of finished spans that wait for export; further spans are dropped and counted.",
             minimum: 16,
             maximum: 100_000,
             defaultValue: 2048,
@@ -227,5 +231,5 @@
     }),
 });
 
-/** The checked settings of one daemon. */
+/** The validated settings of a daemon. */
 export type Settings = z.output<typeof settingsSchema>;
--- a/packages/configuration/src/settings.ts
+++ b/packages/configuration/src/settings.ts
@@ -1,5 +1,5 @@
 /**
- * The settings of one daemon: its addresses, availability zone and limits.
+ * Parsing and validation of the daemon's settings.
  *
  * @packageDocumentation
  */
@@ -11,10 +11,10 @@
 import { type Settings, settingsSchema } from "./settings-schema.js";
 
 /**
- * Reads and checks a settings file.
+ * Parses and checks a settings file.
  *
- * @param file - Name of the file, for findings.
- * @param text - The file's text.
+ * @param file - File name for findings.
+ * @param text - The text of the file.
  * @returns The settings, or all findings.
  */
 export const checkSettings = (file: string, text: string): CheckResult<Settings> => {
@@ -28,7 +28,7 @@
     return findings.length === 0 ? { value: settings, findings: [] } : { value: undefined, findings };
 };
 
-/** Takes apart the addresses that name their port. */
+/** Splits addresses of the form `IP:port` into address and port. */
 const withPorts = (settings: Settings): Settings => ({
     ...settings,
     callers: { ...settings.callers, ...parseEndpoint(settings.callers.address) },
@@ -48,18 +48,23 @@
     }
     const { address, certificateFile, keyFile, authorityFile } = values;
     const trustsNetwork = !("trustsNetwork" in values) || values.trustsNetwork;
-    const place = { file: document.file, section };
+    const location = { file: document.file, section };
     const findings: Finding[] = [];
     if ((certificateFile === undefined) !== (keyFile === undefined)) {
         const key = certificateFile === undefined ? "certificateFile" : "keyFile";
-        findings.push({ ...place, key, line: document.lineOf(section, key), message: "certificateFile and keyFile go together" });
+        findings.push({
+            ...location,
+            key,
+            line: document.lineOf(section, key),
+            message: "certificateFile and keyFile must be set together",
+        });
     }
     if (!trustsNetwork && !isLoopback(address) && (certificateFile === undefined || authorityFile === undefined)) {
-        const message = "outside loopback, operators and peers are served with certificateFile, keyFile and authorityFile only";
-        findings.push({ ...place, key: "address", line: document.lineOf(section, "address"), message });
+        const message = "outside loopback, operators and peers require certificateFile, keyFile and authorityFile";
+        findings.push({ ...location, key: "address", line: document.lineOf(section, "address"), message });
     }
     return findings;
 };
 
-/** Whether an IP number is a loopback address. */
+/** Whether an IP address is a loopback address. */
 export const isLoopback = (address: string): boolean => address === "::1" || address.startsWith("127.");
--- a/packages/configuration/src/upstream.ts
+++ b/packages/configuration/src/upstream.ts
@@ -1,28 +1,28 @@
 /**
- * Upstreams as configured or listed.
+ * Configured and discovered upstreams.
  *
  * @packageDocumentation
  */
 
 import type { ServiceName, UpstreamId } from "@harrierhitch/core";
 
-/** One start of a server that answers requests of a service. */
+/** A server that handles requests of a service. */
 export interface Upstream {
     readonly id: UpstreamId;
     readonly address: string;
     readonly port: number;
     readonly availabilityZone: string;
-    /** Requests that it serves at the same time. */
+    /** Requests that it serves concurrently. */
     readonly slots: number;
 }
 
-/** An upstream that is listed apart from the configuration and comes and goes by itself. */
+/** An upstream from service discovery, which is published separately from the configuration. */
 export interface DiscoveredUpstream extends Upstream {
     readonly service: ServiceName;
-    /** Whether it has said that it leaves. */
+    /** Whether the upstream has announced that it is shutting down. */
     readonly draining: boolean;
-    /** Time for which it still answers slowly, counted from the moment it was listed. */
+    /** Duration of the cold start in milliseconds, counted from the publication of the entry. */
     readonly coldMs: number;
-    /** When this start of it began, in milliseconds since the Unix epoch; 0 when it does not say. */
+    /** Start time of this incarnation in milliseconds since the Unix epoch; 0 if unknown. */
     readonly startedAtMs: number;
 }
--- a/packages/configuration/test/documents.test.ts
+++ b/packages/configuration/test/documents.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against invalid documents that are accepted, and against findings without the location or the cause of the error.
+ */
+
 import fc from "fast-check";
 import assert from "node:assert/strict";
 import { readFileSync } from "node:fs";
@@ -13,7 +17,7 @@
     assert.deepEqual(checkSettings("s", settings).findings, []);
 });
 
-interface Mistake {
+interface InvalidEdit {
     readonly name: string;
     readonly document: "configuration" | "settings";
     readonly from: string;
@@ -21,7 +25,7 @@
     readonly finding: RegExp;
 }
 
-const mistakes: readonly Mistake[] = [
+const invalidEdits: readonly InvalidEdit[] = [
     {
         name: "an unknown key",
         document: "configuration",
@@ -58,7 +62,7 @@
         finding: /^d:\d+: \[upstream.seating-1\] port: found "70000", expected a whole number from 1 to 65535$/,
     },
     {
-        name: "a host name for an IP number",
+        name: "a host name instead of an IP number",
         document: "settings",
         from: "address = 127.0.0.1\nport = 9001",
         to: "address = localhost\nport = 9001",
@@ -72,28 +76,28 @@
         finding: /\[instance\] id: given twice, first on line/,
     },
     {
-        name: "a reference to nothing",
+        name: "a reference to a missing section",
         document: "configuration",
         from: "policy = careful",
         to: "policy = carefull",
         finding: /\[service.boarding\] policy: there is no section \[policy.carefull\]/,
     },
     {
-        name: "a reference to a name of the language",
+        name: "a reference to the name of an Object property",
         document: "configuration",
         from: "policy = careful",
         to: "policy = constructor",
         finding: /there is no section \[policy.constructor\]/,
     },
     {
-        name: "two upstreams at one address",
+        name: "two upstreams with the same address",
         document: "configuration",
         from: "port = 9102",
         to: "port = 9101",
         finding: /same address and port as \[upstream.seating-1\]/,
     },
     {
-        name: "two equal routes",
+        name: "two routes that match the same requests",
         document: "configuration",
         from: "method = POST\npath = /boarding-passes",
         to: "method = GET\npath = /seats/:other",
@@ -107,51 +111,51 @@
         finding: /no upstream belongs to this service/,
     },
     {
-        name: "an expression of another type",
+        name: "a clause with the wrong type",
         document: "configuration",
         from: "filter = upstream.state == 'ready' || upstream.state == 'cold'",
         to: "filter = 1.0",
         finding: /\[policy.careful\] filter: the expression is of type double, expected bool/,
     },
     {
-        name: "an unknown fact",
+        name: "an unknown field in a clause",
         document: "configuration",
         from: "upstream.inFlight * 2.0",
         to: "upstream.load * 2.0",
         finding: /\[policy.nearest-free\] rank: No such key: load/,
     },
     {
-        name: "a function that policies lack",
+        name: "a function that is not available in policies",
         document: "configuration",
         from: "request.weight < 5.0",
         to: "request.path.matches('a')",
         finding: /the function matches is not available/,
     },
     {
-        name: "a loop",
+        name: "a loop in a clause",
         document: "configuration",
         from: "request.weight < 5.0",
         to: "[1.0].all(x, x < 5.0)",
         finding: /the function all is not available/,
     },
     {
-        name: "a value cut by a comment sign",
+        name: "a value truncated by a comment character",
         document: "configuration",
         from: "many requests wait, try",
         to: "many requests wait; try",
-        finding: /a comment sign cuts the text/,
+        finding: /a comment character truncates the value/,
     },
     {
         name: "operators outside loopback without TLS",
         document: "settings",
         from: "address = 127.0.0.1\nport = 9011",
         to: "address = 10.0.0.1\nport = 9011",
-        finding: /outside loopback, operators and peers are served with/,
+        finding: /outside loopback, operators and peers require certificateFile, keyFile/,
     },
 ];
 
-describe("told with its place is", () => {
-    mistakes.forEach(({ name, document, from, to, finding }) => {
+describe("the finding has its location for", () => {
+    invalidEdits.forEach(({ name, document, from, to, finding }) => {
         test(name, () => {
             const text = document === "configuration" ? configuration : settings;
             assert.ok(text.includes(from), from);
@@ -162,7 +166,7 @@
     });
 });
 
-test("all findings are told at once", () => {
+test("a check reports all findings", () => {
     const changed = settings.replace("port = 9001", "port = x").replace("port = 9011", "port = y").replace(
         "fleet = example",
         "flet = example",
@@ -170,7 +174,7 @@
     assert.equal(checkSettings("d", changed).findings.length, 4);
 });
 
-test("any text is judged without an error, and alike every time", () => {
+test("checking arbitrary text does not throw and is deterministic", () => {
     const line = fc.oneof(
         fc.string({ maxLength: 40 }),
         fc.constantFrom(
@@ -191,11 +195,11 @@
     fc.assert(
         fc.property(fc.array(line, { maxLength: 12 }), lines => {
             const text = lines.join("\n");
-            const judged = [checkConfiguration("d", text), checkConfiguration("d", text)].map(result =>
+            const results = [checkConfiguration("d", text), checkConfiguration("d", text)].map(result =>
                 result.findings.map(formatFinding)
             );
-            assert.deepEqual(judged[0], judged[1]);
-            assert.ok((judged[0]?.length ?? 0) > 0);
+            assert.deepEqual(results[0], results[1]);
+            assert.ok((results[0]?.length ?? 0) > 0);
             checkSettings("d", text);
             checkPolicyFile("d", text);
         }),
@@ -203,7 +207,7 @@
     );
 });
 
-test("a valid configuration with any one line cut stays valid or is told what is wrong", () => {
+test("a configuration with one truncated line is either valid or has findings", () => {
     const lines = configuration.split("\n");
     fc.assert(
         fc.property(fc.integer({ min: 0, max: lines.length - 1 }), fc.integer({ min: 0, max: 60 }), (index, length) => {
--- a/packages/core/src/clock.ts
+++ b/packages/core/src/clock.ts
@@ -1,37 +1,37 @@
 /**
- * Time, behind an interface, so that tests run on a clock of their own.
+ * The clock interface, which lets tests replace the system clock.
  *
  * @packageDocumentation
  */
 
 /** A timer that can be cancelled. */
 export interface Timer {
-    /** Cancels the timer; does nothing when it has already fired. */
+    /** Cancels the timer; has no effect if it has already fired. */
     cancel(): void;
 }
 
 /** Source of monotonic time, wall-clock time and timers. */
 export interface Clock {
-    /** Milliseconds on a monotonic scale with an arbitrary origin, with fractions. */
+    /** Monotonic time in milliseconds with fractions; the origin is arbitrary. */
     nowMs(): number;
-    /** Milliseconds since the Unix epoch. Only for people to read, never for measuring. */
+    /** Wall-clock time in milliseconds since the Unix epoch. Not for measuring intervals, because it may jump. */
     wallMs(): number;
     /**
      * Calls `action` once after `delayMs`.
      *
      * @param delayMs - The delay in milliseconds; zero or less means as soon as possible.
-     * @param action - What to do.
-     * @returns The timer, for cancelling it.
+     * @param action - The callback.
+     * @returns The timer, which can be cancelled.
      */
     after(delayMs: number, action: () => void): Timer;
 }
 
 /**
- * Waits on a clock.
+ * Resolves after a delay on the given clock.
  *
- * @param clock - The clock to wait on.
- * @param delayMs - How long, in milliseconds.
- * @param signal - Ends the wait early, without an error.
+ * @param clock - The clock that provides the timer.
+ * @param delayMs - The delay in milliseconds.
+ * @param signal - Resolves the promise early when aborted; it does not reject.
  */
 export const sleep = (clock: Clock, delayMs: number, signal?: AbortSignal): Promise<void> =>
     new Promise(resolve => {
--- a/packages/core/src/error.ts
+++ b/packages/core/src/error.ts
@@ -1,17 +1,17 @@
 /**
- * The base of every error that harrierhitch raises.
+ * The base class of harrierhitch's errors.
  *
  * @packageDocumentation
  */
 
-/** An error with a stable code. Every failure of harrierhitch is a subclass of it. */
+/** Base class of all errors that harrierhitch throws; each subclass has a stable code. */
 export abstract class HarrierhitchError extends Error {
-    /** A stable, machine-readable code in kebab case. */
+    /** Stable machine-readable code in kebab case. */
     abstract readonly code: string;
 
     /**
-     * @param message - What failed, in a full sentence without the trailing stop.
-     * @param options - The underlying cause, where there is one.
+     * @param message - Description of the failure, without a trailing full stop.
+     * @param options - The underlying cause, if any.
      */
     constructor(message: string, options?: ErrorOptions) {
         super(message, options);
@@ -19,5 +19,5 @@
     }
 }
 
-/** Turns anything thrown into an `Error`, so that logs and causes are uniform. */
+/** Returns a thrown value as an `Error`, wrapping values that are not errors. */
 export const asError = (thrown: unknown): Error => thrown instanceof Error ? thrown : new Error(String(thrown));
--- a/packages/core/src/fake-clock.ts
+++ b/packages/core/src/fake-clock.ts
@@ -1,20 +1,20 @@
 /**
- * A clock that only moves when a test moves it.
+ * A clock for tests that advances only on request.
  *
  * @packageDocumentation
  */
 
 import type { Clock, Timer } from "./clock.js";
 
-interface Pending {
+interface PendingTimer {
     readonly atMs: number;
     readonly action: () => void;
 }
 
-/** A {@link Clock} for tests: time stands still until {@link FakeClock.advance} is called. */
+/** A {@link Clock} for tests whose time changes only through {@link FakeClock.advance} and {@link FakeClock.pause}. */
 export class FakeClock implements Clock {
     private timeMs = 0;
-    private readonly pending: Pending[] = [];
+    private readonly pending: PendingTimer[] = [];
 
     nowMs(): number {
         return this.timeMs;
@@ -25,12 +25,12 @@
     }
 
     after(delayMs: number, action: () => void): Timer {
-        const entry: Pending = { atMs: this.timeMs + Math.max(0, delayMs), action };
+        const entry: PendingTimer = { atMs: this.timeMs + Math.max(0, delayMs), action };
         this.insert(entry);
         return { cancel: () => this.remove(entry) };
     }
 
-    /** Moves time on and fires the timers that fall due, in order, letting promises settle between them. */
+    /** Advances the time and fires due timers in order; pending promise callbacks run after each timer. */
     async advance(byMs: number): Promise<void> {
         const untilMs = this.timeMs + byMs;
         for (let next = this.nextDue(untilMs); next; next = this.nextDue(untilMs)) {
@@ -43,13 +43,13 @@
         await settle();
     }
 
-    /** Moves time on without firing any timer, as a paused process experiences it. */
+    /** Advances the time without firing timers, which simulates a paused process. */
     pause(forMs: number): void {
         this.timeMs += forMs;
     }
 
-    /** Keeps the timers in the order in which they fall due. */
-    private insert(entry: Pending): void {
+    /** Inserts a timer by binary search, keeping the list sorted by due time. */
+    private insert(entry: PendingTimer): void {
         let low = 0;
         for (let high = this.pending.length; low < high;) {
             const middle = (low + high) >> 1;
@@ -64,12 +64,12 @@
         this.pending.splice(low, 0, entry);
     }
 
-    private nextDue(untilMs: number): Pending | undefined {
+    private nextDue(untilMs: number): PendingTimer | undefined {
         const [first] = this.pending;
         return first !== undefined && first.atMs <= untilMs ? first : undefined;
     }
 
-    private remove(entry: Pending): void {
+    private remove(entry: PendingTimer): void {
         const index = this.pending.indexOf(entry);
         if (index >= 0) {
             this.pending.splice(index, 1);
--- a/packages/core/src/ids.ts
+++ b/packages/core/src/ids.ts
@@ -1,31 +1,31 @@
 /**
- * The identifiers of harrierhitch. Each has its own brand, so that the compiler
- * rejects, for example, an upstream's id where an instance's id is expected.
+ * Identifier types. Each has its own brand, so that the compiler rejects, for
+ * example, an upstream id where an instance id is expected.
  *
  * @packageDocumentation
  */
 
 import type { Branded } from "./brand.js";
 
-/** Names one run of an entry instance's daemon in the instance list and in request ids. */
+/** Identifies an instance in the instance list and in request ids. */
 export type InstanceId = Branded<string, "InstanceId">;
 
-/** Names one upstream in the published configuration. */
+/** Identifies an upstream. */
 export type UpstreamId = Branded<string, "UpstreamId">;
 
-/** Names one service in the published configuration. */
+/** Name of a service in the published configuration. */
 export type ServiceName = Branded<string, "ServiceName">;
 
-/** Names one request: the instance that decided, its incarnation and a running number. */
+/** Identifies a request: the id of the deciding instance, its incarnation and a sequence number. */
 export type RequestId = Branded<string, "RequestId">;
 
 /**
- * Tells what a request asks for, the same whichever instance it arrives at: 16 hexadecimal digits over method, host and
- * path, then 8 each over caller, query and body.
+ * Hash of a request's content, which is the same on every instance: 16 hexadecimal digits for method, host and path,
+ * then 8 each for caller, query and body.
  */
 export type RequestKey = Branded<string, "RequestKey">;
 
-/** Numbers the published configurations; a higher one replaces a lower one. */
+/** Number of a published configuration; a configuration with a higher number replaces one with a lower number. */
 export type Generation = Branded<number, "Generation">;
 
 /** Brands a string as an {@link InstanceId}. */
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Ids, errors, clock, random source and outcomes that every package uses.
+ * Identifiers, errors, clocks, random sources and request outcomes that all packages share.
  *
  * @packageDocumentation
  */
--- a/packages/core/src/outcome.ts
+++ b/packages/core/src/outcome.ts
@@ -1,14 +1,14 @@
 /**
- * What is known of a request that was handed on.
+ * The outcome of a forwarded request.
  *
  * @packageDocumentation
  */
 
 /**
- * Whether a request ran at an upstream.
+ * Whether a request was executed by an upstream.
  *
- * - `ran`: an upstream answered it.
- * - `not-run`: there is evidence that no upstream started it.
- * - `unknown`: it may have run; nobody can tell.
+ * - `ran`: an upstream responded to it.
+ * - `not-run`: no upstream started to execute it.
+ * - `unknown`: it may have been executed.
  */
 export type Outcome = "ran" | "not-run" | "unknown";
--- a/packages/core/src/random.ts
+++ b/packages/core/src/random.ts
@@ -1,11 +1,11 @@
 /**
- * Randomness, behind an interface, so that decisions can be replayed.
+ * The random source interface, which makes decisions reproducible.
  *
  * @packageDocumentation
  */
 
-/** Source of uniformly distributed numbers. */
+/** Generates uniformly distributed numbers. */
 export interface RandomSource {
-    /** The next number, at least 0 and below 1. */
+    /** Returns the next number in the range [0, 1). */
     next(): number;
 }
--- a/packages/core/src/rendezvous.ts
+++ b/packages/core/src/rendezvous.ts
@@ -1,6 +1,6 @@
 /**
- * Rendezvous hashing: every instance finds the same order of nodes for a key,
- * and a node that comes or goes moves only its own keys.
+ * Rendezvous hashing: all instances compute the same order of nodes for a key,
+ * and adding or removing a node reassigns only the keys of that node.
  *
  * @packageDocumentation
  */
@@ -8,11 +8,12 @@
 import { createHash } from "node:crypto";
 
 /**
- * Orders nodes for a key, the first being the one in charge.
+ * Sorts nodes by their rendezvous weight for a key.
  *
  * @param key - The key.
  * @param nodes - The nodes, in any order.
- * @param idOf - The id of a node.
+ * @param idOf - Returns the id of a node.
+ * @returns The nodes; the first one owns the key.
  */
 export const rendezvousOrder = <Node>(key: string, nodes: readonly Node[], idOf: (node: Node) => string): readonly Node[] => {
     const weights = weightsFor(key);
@@ -22,35 +23,35 @@
         .map(({ node }) => node);
 };
 
-/** Weights that are remembered: instances look for their sources every second, and hashing hundreds of names is dear. */
-const rememberedWeights = 131_072;
+/** Maximum number of cached weights; the cache avoids hashing every node again for each lookup. */
+const maximumCachedWeights = 131_072;
 
-/** Bytes of the hash that make a weight: as many as a number holds exactly. */
+/** Bytes of the hash that form a weight; a number represents integers of this size exactly. */
 const weightBytes = 6;
 
-const remembered = new Map<string, Map<string, number>>();
-let count = 0;
+const cache = new Map<string, Map<string, number>>();
+let cachedWeights = 0;
 
 const weightsFor = (key: string): Map<string, number> => {
-    const known = remembered.get(key);
-    if (known !== undefined) {
-        return known;
+    const cached = cache.get(key);
+    if (cached !== undefined) {
+        return cached;
     }
     const weights = new Map<string, number>();
-    remembered.set(key, weights);
+    cache.set(key, weights);
     return weights;
 };
 
 const weightOf = (weights: Map<string, number>, key: string, id: string): number => {
-    const known = weights.get(id);
-    if (known !== undefined) {
-        return known;
+    const cached = weights.get(id);
+    if (cached !== undefined) {
+        return cached;
     }
-    if (count >= rememberedWeights) {
-        remembered.forEach(others => others.clear());
-        count = 0;
+    if (cachedWeights >= maximumCachedWeights) {
+        cache.forEach(weightsOfKey => weightsOfKey.clear());
+        cachedWeights = 0;
     }
-    count += 1;
+    cachedWeights += 1;
     const weight = createHash("sha1").update(`${id}\n${key}`).digest().readUIntBE(0, weightBytes);
     weights.set(id, weight);
     return weight;
--- a/packages/core/src/system-clock.ts
+++ b/packages/core/src/system-clock.ts
@@ -1,60 +1,56 @@
 /**
- * The clock of the machine.
+ * The clock for production use.
  *
  * @packageDocumentation
  */
 
 import type { Clock, Timer } from "./clock.js";
 
-/** Where a {@link SystemClock} has the time from. */
+/** Time sources of {@link SystemClock}. */
 export interface SystemClockOptions {
-    /** Milliseconds on the machine's monotonic clock, which stands still while the machine is suspended. */
+    /** Returns the machine's monotonic time in milliseconds; it does not advance while the machine is suspended. */
     readonly monotonicMs?: () => number;
-    /** Milliseconds since the Unix epoch by the time of day. */
-    readonly timeOfDayMs?: () => number;
+    /** Returns the wall-clock time in milliseconds since the Unix epoch. */
+    readonly wallClockMs?: () => number;
 }
 
 /**
- * A jump of the time of day against the monotonic clock from which on it counts as a suspension, in milliseconds: far above
- * what a clock that is being corrected drifts between two looks, below the shortest time after which knowledge is too old.
+ * Minimum jump of the wall clock relative to the monotonic clock, in milliseconds, that counts as a suspend; smaller
+ * differences are clock adjustments.
  */
-const minimumSuspensionMs = 200;
+const minimumSuspendJumpMs = 200;
 
 /**
- * A {@link Clock} on the machine's monotonic clock and Node's timers, which also counts time during which the machine was
- * suspended: without it a machine that wakes takes requests for younger by the time it slept, and what it knows for fresh.
- *
- * Node reads no clock that counts suspensions by itself, so the time of day tells of them. One that was merely set forward
- * looks the same, and is taken for a suspension too: what is known is then asked for once more than needed. Timers are not
- * brought forward, so that a request in flight is not ended for a clock that was set.
+ * A {@link Clock} whose monotonic time includes time during which the machine was suspended. Suspends are detected as
+ * forward jumps of the wall clock, so setting the wall clock forward counts as one; timers are not affected.
  */
 export class SystemClock implements Clock {
     private readonly monotonicMs: () => number;
-    private readonly timeOfDayMs: () => number;
-    /** How far the time of day was ahead of the monotonic clock at the last look. */
-    private aheadMs: number;
+    private readonly wallClockMs: () => number;
+    /** Difference between the wall clock and the monotonic clock at the last reading. */
+    private wallOffsetMs: number;
     private suspendedMs = 0;
 
-    /** @param options - Sources of the time; the machine's own without them. */
-    constructor({ monotonicMs = () => performance.now(), timeOfDayMs = () => Date.now() }: SystemClockOptions = {}) {
+    /** @param options - Time sources; they default to the machine's clocks. */
+    constructor({ monotonicMs = () => performance.now(), wallClockMs = () => Date.now() }: SystemClockOptions = {}) {
         this.monotonicMs = monotonicMs;
-        this.timeOfDayMs = timeOfDayMs;
-        this.aheadMs = timeOfDayMs() - monotonicMs();
+        this.wallClockMs = wallClockMs;
+        this.wallOffsetMs = wallClockMs() - monotonicMs();
     }
 
     nowMs(): number {
         const nowMs = this.monotonicMs();
-        const aheadMs = this.timeOfDayMs() - nowMs;
-        const jumpMs = aheadMs - this.aheadMs;
-        this.aheadMs = aheadMs;
-        if (jumpMs >= minimumSuspensionMs) {
+        const wallOffsetMs = this.wallClockMs() - nowMs;
+        const jumpMs = wallOffsetMs - this.wallOffsetMs;
+        this.wallOffsetMs = wallOffsetMs;
+        if (jumpMs >= minimumSuspendJumpMs) {
             this.suspendedMs += jumpMs;
         }
         return nowMs + this.suspendedMs;
     }
 
     wallMs(): number {
-        return this.timeOfDayMs();
+        return this.wallClockMs();
     }
 
     after(delayMs: number, action: () => void): Timer {
--- a/packages/core/test/system-clock.test.ts
+++ b/packages/core/test/system-clock.test.ts
@@ -1,27 +1,26 @@
 /**
- * A machine may be suspended for seconds. Its monotonic clock then does not count them, and its time of day does:
- * deadlines, the age of what is known and the time for which it counts as fresh all seemed younger by that time.
+ * Guards against time that stops while the machine is suspended, which would extend deadlines and hide stale state.
  */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { SystemClock } from "../src/index.js";
 
-/** A machine whose clocks a test moves. */
+/** Simulates a machine that can run and be suspended. */
 const machine = () => {
-    const time = { monotonicMs: 1000, timeOfDayMs: 1_800_000_000_000 };
-    const clock = new SystemClock({ monotonicMs: () => time.monotonicMs, timeOfDayMs: () => time.timeOfDayMs });
+    const time = { monotonicMs: 1000, wallClockMs: 1_800_000_000_000 };
+    const clock = new SystemClock({ monotonicMs: () => time.monotonicMs, wallClockMs: () => time.wallClockMs });
     const run = (forMs: number): void => {
         time.monotonicMs += forMs;
-        time.timeOfDayMs += forMs;
+        time.wallClockMs += forMs;
     };
     const suspend = (forMs: number): void => {
-        time.timeOfDayMs += forMs;
+        time.wallClockMs += forMs;
     };
     return { clock, run, suspend };
 };
 
-test("time during which the machine was suspended counts", () => {
+test("the clock includes time during which the machine was suspended", () => {
     const { clock, run, suspend } = machine();
     const beforeMs = clock.nowMs();
     run(500);
@@ -33,7 +32,7 @@
     assert.equal(clock.nowMs() - beforeMs, 4550);
 });
 
-test("a time of day that is set back, or drifts, moves nothing", () => {
+test("setting the wall clock back and clock drift do not change the monotonic time", () => {
     const { clock, run, suspend } = machine();
     const beforeMs = clock.nowMs();
     run(100);
--- a/packages/policy/src/clause.ts
+++ b/packages/policy/src/clause.ts
@@ -4,13 +4,13 @@
  * @packageDocumentation
  */
 
-/** The clauses that a policy may have, in the order in which they are evaluated. */
+/** Names of the clauses of a policy, in evaluation order. */
 export const clauseNames = ["refuse", "hold", "filter", "rank"] as const;
 
-/** Name of a clause of a policy. */
+/** Name of a policy clause. */
 export type ClauseName = typeof clauseNames[number];
 
-/** The type that each clause's expression must have. */
+/** Required CEL type of each clause's expression. */
 export const clauseTypes: Readonly<Record<ClauseName, string>> = {
     refuse: "string",
     hold: "bool",
--- a/packages/policy/src/environment.ts
+++ b/packages/policy/src/environment.ts
@@ -1,16 +1,13 @@
 /**
- * The CEL environments in which policies are checked and run.
- *
- * Checking uses typed objects, so that an unknown field is found before a policy
- * is published. Running uses plain maps, which the library evaluates three
- * times as fast (docs/DESIGN.md gives the figures).
+ * The CEL environments for policies: checking uses typed objects, which detects unknown
+ * fields; evaluation uses plain maps, which the library evaluates faster.
  *
  * @packageDocumentation
  */
 
 import { Environment } from "@marcbachmann/cel-js";
 
-/** Most nodes of a clause's syntax tree; with no loops this bounds its cost. */
+/** Maximum number of nodes in a clause's syntax tree; bounds the evaluation cost, as clauses have no loops. */
 export const maximumClauseNodes = 200;
 
 const limits = { maxAstNodes: maximumClauseNodes, maxDepth: 32, maxListElements: 32, maxMapEntries: 0, maxCallArguments: 4 };
@@ -76,23 +73,23 @@
     slots: "double",
 };
 
-const withFunctions = (environment: Environment): Environment =>
+const registerFunctions = (environment: Environment): Environment =>
     environment
         .registerFunction("min(double, double): double", (a: number, b: number) => Math.min(a, b))
         .registerFunction("max(double, double): double", (a: number, b: number) => Math.max(a, b));
 
-const requestOnly = withFunctions(new Environment({ limits }))
+const baseEnvironment = registerFunctions(new Environment({ limits }))
     .registerVariable("request", { schema: requestFields })
     .registerVariable("service", { schema: serviceFields });
 
-/** Environment that checks clauses about the request alone. */
-export const requestCheckEnvironment = requestOnly;
+/** Environment for checking the clauses `refuse` and `hold`, which are evaluated once for each decision. */
+export const requestCheckEnvironment = baseEnvironment;
 
-/** Environment that checks clauses about one candidate. */
-export const candidateCheckEnvironment = requestOnly.clone().registerVariable("upstream", { schema: upstreamFields });
+/** Environment for checking the clauses `filter` and `rank`, which are evaluated for each candidate. */
+export const candidateCheckEnvironment = baseEnvironment.clone().registerVariable("upstream", { schema: upstreamFields });
 
-/** Environment that runs every clause. */
-export const runEnvironment = withFunctions(new Environment({ limits }))
+/** Environment for evaluating all clauses. */
+export const runEnvironment = registerFunctions(new Environment({ limits }))
     .registerVariable("request", "map")
     .registerVariable("service", "map")
     .registerVariable("upstream", "map");
--- a/packages/policy/src/index.ts
+++ b/packages/policy/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Policies: short CEL programs that choose, hold back and refuse.
+ * Policies: CEL expressions that select upstreams and decide when to hold or refuse requests.
  *
  * @packageDocumentation
  */
--- a/packages/policy/src/policy-error.ts
+++ b/packages/policy/src/policy-error.ts
@@ -1,5 +1,5 @@
 /**
- * Errors of policies.
+ * Errors from checking and evaluating policies.
  *
  * @packageDocumentation
  */
@@ -7,28 +7,28 @@
 import { HarrierhitchError } from "@harrierhitch/core";
 import type { ClauseName } from "./clause.js";
 
-/** A clause that was rejected when the policy was checked. */
+/** A clause did not pass the check of its policy. */
 export class PolicyCheckError extends HarrierhitchError {
     readonly code = "policy-check";
 
     /**
      * @param policy - Name of the policy.
-     * @param clause - The clause that was rejected.
-     * @param detail - What is wrong with it.
+     * @param clause - The invalid clause.
+     * @param detail - Reason why the clause is invalid.
      */
     constructor(readonly policy: string, readonly clause: ClauseName, readonly detail: string) {
         super(`policy ${policy}, clause ${clause}: ${detail}`);
     }
 }
 
-/** A clause that failed while it was evaluated. */
+/** The evaluation of a clause failed. */
 export class PolicyRunError extends HarrierhitchError {
     readonly code = "policy-run";
 
     /**
      * @param policy - Name of the policy.
      * @param clause - The clause that failed.
-     * @param detail - Why it failed.
+     * @param detail - Reason of the failure.
      */
     constructor(readonly policy: string, readonly clause: ClauseName, readonly detail: string) {
         super(`policy ${policy}, clause ${clause}: ${detail}`);
--- a/packages/policy/src/policy-source.ts
+++ b/packages/policy/src/policy-source.ts
@@ -1,17 +1,17 @@
 /**
- * A policy as an operator writes it.
+ * The source text of a policy.
  *
  * @packageDocumentation
  */
 
 import type { ClauseName } from "./clause.js";
 
-/** The text of a policy and where each clause stands. */
+/** The clauses of a policy with their line numbers. */
 export interface PolicySource {
     /** Name of the policy. */
     readonly name: string;
-    /** The clauses' expressions in CEL; an absent clause has its default. */
+    /** CEL expressions of the clauses; absent clauses have a default result. */
     readonly clauses: Readonly<Partial<Record<ClauseName, string>>>;
-    /** Line of each clause in the published document, from 1. */
+    /** 1-based line of each clause in the published document. */
     readonly lines: Readonly<Partial<Record<ClauseName, number>>>;
 }
--- a/packages/policy/src/policy.ts
+++ b/packages/policy/src/policy.ts
@@ -1,9 +1,6 @@
 /**
- * Policies: short programs that say which upstream a request goes to, when it is
- * held back and when it is refused.
- *
- * A policy has up to four clauses in CEL. It cannot loop, read a clock or reach
- * the network, so it ends, and the same facts always give the same result.
+ * Policies: up to four CEL clauses that decide which upstream receives a request and when the
+ * request is held or refused. Evaluation is deterministic and always terminates.
  *
  * @packageDocumentation
  */
@@ -18,7 +15,7 @@
 import type { ServiceFacts } from "./service-facts.js";
 import type { UpstreamFacts } from "./upstream-facts.js";
 
-/** The functions and methods that a clause may call. */
+/** Functions and methods that clauses may call. */
 const allowedCalls: ReadonlySet<string> = new Set([
     "min",
     "max",
@@ -33,16 +30,16 @@
 /** A checked policy, ready to be evaluated. */
 export class Policy {
     private constructor(
-        /** The text that the policy was made from. */
+        /** The source of the policy. */
         readonly source: PolicySource,
         private readonly programs: Readonly<Partial<Record<ClauseName, ParseResult>>>,
     ) {}
 
     /**
-     * Checks a policy's clauses and makes the policy.
+     * Checks and compiles the clauses of a policy.
      *
-     * @param source - The policy's text.
-     * @returns The policy, or every finding when there is at least one.
+     * @param source - The source of the policy.
+     * @returns The policy, or an error for each invalid clause.
      */
     static check(source: PolicySource): Policy | readonly PolicyCheckError[] {
         const errors: PolicyCheckError[] = [];
@@ -52,12 +49,12 @@
             if (text === undefined) {
                 return;
             }
-            const finding = checkClause(clause, text);
-            if (finding === undefined) {
+            const problem = checkClause(clause, text);
+            if (problem === undefined) {
                 programs[clause] = runEnvironment.parse(text);
             }
             else {
-                errors.push(new PolicyCheckError(source.name, clause, finding));
+                errors.push(new PolicyCheckError(source.name, clause, problem));
             }
         });
         return errors.length > 0 ? errors : new Policy(source, programs);
@@ -66,49 +63,49 @@
     /**
      * Evaluates the clause `refuse`.
      *
-     * @returns The reason for refusing, or `undefined` when the request is not refused.
-     * @throws {@link PolicyRunError} when the clause fails.
+     * @returns The reason for the refusal, or `undefined` if the request is not refused.
+     * @throws {@link PolicyRunError} if the evaluation fails.
      */
     refuse(request: RequestFacts, service: ServiceFacts): string | undefined {
-        const reason = this.run("refuse", { request, service });
+        const reason = this.evaluate("refuse", { request, service });
         return reason === undefined || reason === "" ? undefined : reason as string;
     }
 
     /**
      * Evaluates the clause `hold`.
      *
-     * @returns Whether the request has to wait.
-     * @throws {@link PolicyRunError} when the clause fails.
+     * @returns Whether the request must wait in the queue.
+     * @throws {@link PolicyRunError} if the evaluation fails.
      */
     hold(request: RequestFacts, service: ServiceFacts): boolean {
-        return (this.run("hold", { request, service }) ?? false) as boolean;
+        return (this.evaluate("hold", { request, service }) ?? false) as boolean;
     }
 
     /**
      * Evaluates the clause `filter` for one candidate.
      *
-     * @returns Whether the candidate may be chosen.
-     * @throws {@link PolicyRunError} when the clause fails.
+     * @returns Whether the candidate may be selected.
+     * @throws {@link PolicyRunError} if the evaluation fails.
      */
     filter(request: RequestFacts, service: ServiceFacts, upstream: UpstreamFacts): boolean {
-        return (this.run("filter", { request, service, upstream }) ?? true) as boolean;
+        return (this.evaluate("filter", { request, service, upstream }) ?? true) as boolean;
     }
 
     /**
      * Evaluates the clause `rank` for one candidate.
      *
-     * @returns The rank, lower being better, or `undefined` when the policy has no such clause.
-     * @throws {@link PolicyRunError} when the clause fails or gives no finite number.
+     * @returns The rank, where lower is better, or `undefined` if the policy has no such clause.
+     * @throws {@link PolicyRunError} if the evaluation fails or its result is not a finite number.
      */
     rank(request: RequestFacts, service: ServiceFacts, upstream: UpstreamFacts): number | undefined {
-        const rank = this.run("rank", { request, service, upstream }) as number | undefined;
+        const rank = this.evaluate("rank", { request, service, upstream }) as number | undefined;
         if (rank !== undefined && !Number.isFinite(rank)) {
             throw new PolicyRunError(this.source.name, "rank", `the rank of ${upstream.id} is ${rank}`);
         }
         return rank;
     }
 
-    private run(clause: ClauseName, facts: Readonly<Record<string, unknown>>): unknown {
+    private evaluate(clause: ClauseName, facts: Readonly<Record<string, unknown>>): unknown {
         const program = this.programs[clause];
         if (program === undefined) {
             return undefined;
--- a/packages/policy/src/request-facts.ts
+++ b/packages/policy/src/request-facts.ts
@@ -1,54 +1,54 @@
 /**
- * What a policy may know of a request.
+ * The request as policies see it.
  *
  * @packageDocumentation
  */
 
-/** The facts of one request, as the policy variable `request`. */
+/** Fields of the policy variable `request`. */
 export interface RequestFacts {
-    /** Name of the request's kind, for example `issue`. */
+    /** Name of the request kind, for example `issue`. */
     readonly kind: string;
-    /** Name of the workspace that the caller belongs to; empty when unknown. */
+    /** Workspace of the caller; empty if unknown. */
     readonly workspace: string;
-    /** HTTP method in capitals. */
+    /** HTTP method in upper case. */
     readonly method: string;
-    /** Path without the query. */
+    /** Request path without the query. */
     readonly path: string;
-    /** Weight of the request's kind. */
+    /** Configured weight of the request kind. */
     readonly weight: number;
-    /** Whether the request may run more than once. */
+    /** Whether the request may be executed more than once. */
     readonly repeatable: boolean;
-    /** Number of the attempt that is being decided, from 1. */
+    /** Number of the attempt that this decision is for, starting at 1. */
     readonly attempt: number;
-    /** Number of harrierhitch hops before this one. */
+    /** Number of harrierhitch instances that the request passed before this one. */
     readonly depth: number;
-    /** Milliseconds left until the request's deadline. */
+    /** Milliseconds until the deadline of the request. */
     readonly remainingMs: number;
-    /** Milliseconds for which the request has been held back so far. */
+    /** Milliseconds for which the request has waited in the queue. */
     readonly heldMs: number;
     /** Milliseconds since the request arrived. */
     readonly ageMs: number;
-    /** Milliseconds within which an answer is worth most; 0 when there is no such time. */
+    /** Target latency of the request kind in milliseconds; 0 if none is configured. */
     readonly targetMs: number;
     /**
-     * Milliseconds until that time, counted from the caller's first try as far as its deadline shows it; negative
-     * when it has passed, 0 when there is no such time.
+     * Milliseconds until the target latency is exceeded, counted from the caller's first try as far as the deadline
+     * indicates it; negative if it is exceeded, 0 without a target.
      */
     readonly targetLeftMs: number;
     /**
-     * Milliseconds for which it can wait and still be answered by that time, if work takes no longer than for nine in
-     * ten; negative when it most likely cannot, 0 when there is no such time.
+     * Milliseconds for which the request can wait and still meet the target at the 90th percentile of the service time;
+     * negative if it will probably miss the target, 0 without a target.
      */
     readonly slackMs: number;
-    /** Milliseconds for which it may still be held back. */
+    /** Milliseconds for which the request may still wait in the queue. */
     readonly holdLeftMs: number;
-    /** Requests of its workspace held back at this instance that go before this one. */
+    /** Queued requests of the same workspace at this instance that are ahead of this one. */
     readonly ahead: number;
     /**
-     * Milliseconds for which it would wait at least: behind them, as fast as those before were sent on, and until an
-     * upstream has room if nobody else sends anything. What cannot wait for so long is not served in time.
+     * Minimum expected queue wait in milliseconds: the time to send the requests ahead at the recent rate, and the time
+     * until an upstream has headroom if no other instance sends requests.
      */
     readonly waitMs: number;
-    /** Milliseconds that work for this kind usually takes, as answers showed; 0 before enough is known. */
+    /** Baseline service time of the request kind in milliseconds, measured from responses; 0 before there are enough of them. */
     readonly usualMs: number;
 }
--- a/packages/policy/src/service-facts.ts
+++ b/packages/policy/src/service-facts.ts
@@ -1,37 +1,34 @@
 /**
- * What a policy may know of the service that a request is for.
+ * The service as policies see it.
  *
  * @packageDocumentation
  */
 
-/** The facts of one service at this instance, as the policy variable `service`. */
+/** Fields of the policy variable `service`; they describe the service as seen by this instance. */
 export interface ServiceFacts {
     /** Name of the service. */
     readonly name: string;
-    /** This instance's requests in flight to all of the service's upstreams. */
+    /** Requests in flight from this instance to all upstreams of the service. */
     readonly inFlight: number;
-    /** Requests held back at this instance. */
+    /** Requests that wait in the queue of this instance. */
     readonly queued: number;
-    /** Upstreams that may be chosen now, of those that the decision looks at: all, or some of hundreds. */
+    /** Upstreams that may be selected now; large services are sampled for each decision. */
     readonly candidates: number;
-    /**
-     * Time until the best of them is expected to answer, in times of usual work
-     * there; -1 when none may be chosen.
-     */
+    /** Expected response time of the best candidate as a multiple of its baseline; -1 without a candidate. */
     readonly bestTime: number;
     /**
-     * Requests that the best of them is expected to take before it answers fewer in a given time; 0 or less when one
-     * more would add to a backlog, and without a candidate.
+     * Headroom of the best candidate: expected number of further requests until its optimal concurrency; 0 or less if
+     * another request would add to a backlog, and without a candidate.
      */
     readonly room: number;
-    /** The same as a share of the requests in flight at which that upstream answers most: 1 is an idle one, 0 a full one. */
+    /** Headroom of the best candidate as a share of its optimal concurrency: 1 if it is idle, 0 if it has none. */
     readonly freeShare: number;
-    /** Upstreams that may be asked for their load now: while it is 0, waiting brings no news but by answers. */
+    /** Upstreams that may be probed for their load now; at 0, only responses update the load estimates. */
     readonly askable: number;
-    /** Milliseconds until there is room for one more caller that is turned away because upstreams name limits. */
+    /** Milliseconds until one more caller rejected due to upstream rate limits can be served. */
     readonly returnInMs: number;
-    /** Milliseconds since a caller who could still be in time was turned away because upstreams name limits; -1 if none was. */
+    /** Milliseconds since a caller that could have met its target was rejected due to upstream rate limits; -1 if none was. */
     readonly turnedAwayMs: number;
-    /** All upstreams of the service. */
+    /** Number of all upstreams of the service. */
     readonly upstreams: number;
 }
--- a/packages/policy/src/upstream-facts.ts
+++ b/packages/policy/src/upstream-facts.ts
@@ -1,66 +1,65 @@
 /**
- * What a policy may know of one candidate upstream.
+ * A candidate upstream as policies see it.
  *
  * @packageDocumentation
  */
 
 /**
- * The state of an upstream as one instance believes it.
+ * The state of an upstream as seen by one instance.
  *
- * - `ready`: takes work.
- * - `cold`: takes work, but has just started or come back.
- * - `suspect`: recent failures; takes work only when little else is left.
- * - `ejected`: failing; takes no work until its return is tried.
- * - `draining`: leaving; takes no new work.
+ * - `ready`: receives requests.
+ * - `cold`: receives requests, but has just started or recovered.
+ * - `suspect`: failed recently; receives requests only if few other upstreams are available.
+ * - `ejected`: failing; receives no requests until its recovery is tested.
+ * - `draining`: shutting down; receives no new requests.
  */
 export type UpstreamState = "ready" | "cold" | "suspect" | "ejected" | "draining";
 
-/** The facts of one candidate, as the policy variable `upstream`. */
+/** Fields of the policy variable `upstream`. */
 export interface UpstreamFacts {
-    /** Id of the upstream. */
     readonly id: string;
     /** Availability zone of the upstream. */
     readonly availabilityZone: string;
-    /** Whether it is the availability zone of this instance. */
+    /** Whether the upstream is in the availability zone of this instance. */
     readonly sameZone: boolean;
-    /** Believed state. */
+    /** State as seen by this instance. */
     readonly state: UpstreamState;
-    /** This instance's requests in flight there. */
+    /** Requests in flight from this instance to the upstream. */
     readonly inFlight: number;
-    /** Most requests that this instance keeps in flight there. */
+    /** Maximum number of requests in flight from this instance to the upstream. */
     readonly limit: number;
-    /** Milliseconds for which it wants nothing from this instance, by its own word; 0 when it takes requests. */
+    /** Milliseconds for which the upstream asked this instance to back off; 0 if it accepts requests. */
     readonly restMs: number;
-    /** Requests a second that it takes from all instances together, by its own word; -1 where it names no limit. */
+    /** Rate limit announced by the upstream, in requests per second from all instances together; -1 without a limit. */
     readonly takesPerSecond: number;
-    /** Milliseconds between two requests of this instance by its share of that; 0 where it names no limit. */
+    /** Milliseconds between two requests according to this instance's share of the rate limit; 0 without a limit. */
     readonly shareGapMs: number;
-    /** Milliseconds until this instance may send one more by its share; 0 where it may now, or it names no limit. */
+    /** Milliseconds until this instance's share of the rate limit permits another request; 0 if it does now. */
     readonly shareInMs: number;
-    /** Milliseconds for which the oldest request in flight there has waited; 0 without one. */
+    /** Age of this instance's oldest request in flight to the upstream in milliseconds; 0 without one. */
     readonly oldestInFlightMs: number;
-    /** Decayed average latency in milliseconds; 0 before the first answer. */
+    /** Exponentially weighted average latency in milliseconds; 0 before the first response. */
     readonly latencyMs: number;
-    /** Milliseconds since the last answer; -1 before the first. */
+    /** Milliseconds since the last response; -1 before the first. */
     readonly latencyAgeMs: number;
-    /** Requests in flight that the upstream itself last reported; -1 without a report. */
+    /** Requests in flight according to the upstream's last load report; -1 without a report. */
     readonly reportedInFlight: number;
-    /** Milliseconds since that report; -1 without one. */
+    /** Milliseconds since the last load report; -1 without one. */
     readonly reportAgeMs: number;
-    /** Requests that this instance has sent there since that report; -1 without one. */
+    /** Requests sent by this instance to the upstream since the last load report; -1 without one. */
     readonly sentSinceReport: number;
-    /** Factor by which work takes longer there than usual, by that report; 1 is as usual, and without a report. */
+    /** Ratio of the service time to the baseline according to the last load report; 1 without a report. */
     readonly slowness: number;
-    /** Requests expected in flight there now, of all instances: the report as far as it still holds, and what was sent since. */
+    /** Estimated requests in flight from all instances: the decayed load report plus requests sent since then. */
     readonly expectedInFlight: number;
-    /** Slowness expected now, against what is usual in the service: the reported one as far as it still holds. */
+    /** Estimated current ratio of the service time to the service's baseline: the decayed reported ratio. */
     readonly expectedSlowness: number;
-    /** How much longer one more request is expected to take because of those in flight there, as answers showed; 1 is as usual. */
+    /** Expected ratio of the service time to the baseline due to contention of requests in flight; 1 without contention. */
     readonly crowding: number;
-    /** Requests in flight, of all instances, at which it answers most in a given time, as answers showed. */
+    /** Optimal concurrency: estimated requests in flight from all instances that maximise the throughput. */
     readonly bestInFlight: number;
-    /** Decayed share of failed attempts, from 0 to 1. */
+    /** Exponentially weighted share of failed attempts, from 0 to 1. */
     readonly failureRate: number;
-    /** Requests that the upstream serves at the same time, by its report or else as configured. */
+    /** Requests that the upstream serves concurrently, as reported or otherwise as configured. */
     readonly slots: number;
 }
--- a/packages/protocol/src/index.ts
+++ b/packages/protocol/src/index.ts
@@ -1,7 +1,6 @@
 /**
- * The messages and services spoken between harrierhitch processes.
- *
- * The generated code is committed; `npm run generate` makes it again.
+ * The protobuf messages and services between harrierhitch processes. The generated code is
+ * committed; `npm run generate` regenerates it.
  *
  * @packageDocumentation
  */
