--- a/packages/configuration/src/ini-document.ts
+++ b/packages/configuration/src/ini-document.ts
@@ -21,7 +21,7 @@
         readonly file: string,
         readonly values: Readonly<Record<string, IniValue>>,
         private readonly lines: ReadonlyMap<string, number>,
-        /** Errors that the library ignores: duplicate keys and values truncated by a comment character. */
+        /** Errors that the library ignores: duplicate keys and values cut by a comment sign. */
         readonly syntaxFindings: readonly Finding[],
     ) {}
 
@@ -45,8 +45,8 @@
             }
             else if (key !== undefined) {
                 const firstLine = lines.get(locationKey(section, key));
-                if (isTruncatedByComment(content)) {
-                    const message = "a comment character truncates the value; put it in double quotes or write \\; or \\#";
+                if (isCutByComment(content)) {
+                    const message = "a comment sign cuts the text; put the complete value in double quotes or write \\; or \\#";
                     syntaxFindings.push({ file, section, key, line, message });
                 }
                 if (firstLine === undefined) {
@@ -77,7 +77,7 @@
 }
 
 /** Whether the library would end the value at a `;` or `#` inside quotes. */
-const isTruncatedByComment = (content: string): boolean => {
+const isCutByComment = (content: string): boolean => {
     const value = content.slice(content.indexOf("=") + 1).trim();
     if (/^"(?:[^"\\]|\\.)*"$/.test(value)) {
         return false;
--- a/packages/configuration/src/route.ts
+++ b/packages/configuration/src/route.ts
@@ -47,7 +47,7 @@
  * @returns The route to the selected service, or `undefined` if all weights are 0.
  */
 export const selectRoute = ({ destinations }: RouteGroup, sample: number): Route | undefined => {
-    const totalWeight = destinations.reduce((sum, { weight }) => sum + weight, 0);
+    const totalWeight = destinations.reduce((sum, destination) => sum + destination.weight, 0);
     let remainingWeight = sample * totalWeight;
-    return destinations.find(({ weight }) => (remainingWeight -= weight) < 0)?.route;
+    return destinations.find(destination => (remainingWeight -= destination.weight) < 0)?.route;
 };
--- a/packages/configuration/src/settings.ts
+++ b/packages/configuration/src/settings.ts
@@ -60,7 +60,8 @@
         });
     }
     if (!trustsNetwork && !isLoopback(address) && (certificateFile === undefined || authorityFile === undefined)) {
-        const message = "outside loopback, operators and peers require certificateFile, keyFile and authorityFile";
+        const message =
+            "outside loopback, operators and peers are served with TLS only; set certificateFile, keyFile and authorityFile";
         findings.push({ ...location, key: "address", line: document.lineOf(section, "address"), message });
     }
     return findings;
--- a/packages/configuration/test/documents.test.ts
+++ b/packages/configuration/test/documents.test.ts
@@ -139,18 +139,18 @@
         finding: /the function all is not available/,
     },
     {
-        name: "a value truncated by a comment character",
+        name: "a value cut by a comment sign",
         document: "configuration",
         from: "many requests wait, try",
         to: "many requests wait; try",
-        finding: /a comment character truncates the value/,
+        finding: /a comment sign cuts the text/,
     },
     {
         name: "operators outside loopback without TLS",
         document: "settings",
         from: "address = 127.0.0.1\nport = 9011",
         to: "address = 10.0.0.1\nport = 9011",
-        finding: /outside loopback, operators and peers require certificateFile, keyFile/,
+        finding: /outside loopback, operators and peers are served with/,
     },
 ];
 
