--- a/packages/decision/src/adaptive-chooser.ts
+++ b/packages/decision/src/adaptive-chooser.ts
@@ -7,61 +7,59 @@
 import type { ChooserName } from "@harrierhitch/configuration";
 import type { UpstreamFacts } from "@harrierhitch/policy";
 import type { Chooser, ChooserInput, Selection } from "./chooser.js";
-import { all, lowest } from "./compare.js";
+import { allIndexes, selectLowest } from "./compare.js";
 
-/** Time after which a report of load has lost two thirds of its worth. */
+/** Time constant with which a load report loses weight, in milliseconds. */
 const reportDecayMs = 100;
 
 /** Weight of a full report against one request of this instance in flight. */
 const reportWeight = 0.5;
 
-/** What another availability zone counts, in requests in flight: enough to break ties only. */
+/** Cost of another availability zone, in requests in flight: it only breaks ties. */
 const zoneWeight = 0.05;
 
-/** What an upstream that has just started counts, in requests in flight. */
+/** Cost of an upstream that has just started, in requests in flight. */
 const coldWeight = 1;
 
-/** Latency against the median below which differences are taken for chance. */
-const usualSlowness = 2;
+/** Multiple of the median latency up to which differences are treated as noise. */
+const slowLatencyRatio = 2;
 
-/** What a failure rate of one counts, in requests in flight. */
+/** Cost of a failure rate of one, in requests in flight. */
 const failureWeight = 20;
 
 /**
- * Takes the candidate with the fewest requests in flight, as far as it can be known.
+ * Selects the candidate with the lowest estimated load.
  *
- * Own requests in flight are the only figure that is never stale, so they lead.
- * The upstream's own report, which loses worth with its age, breaks ties. Latency
- * counts only when it stands out: small differences are chance, and following
- * them sends all instances to the same upstream. A request that has waited much
- * longer than usual counts like a slow answer before it comes. Failures count
- * as load, so that a failing upstream never looks idle.
+ * The requests that this instance has in flight weigh most, because that number is never stale. The upstream's own report,
+ * weighted by its age, breaks ties. Latency counts only when it is far above the median, so that small differences do not send
+ * all instances to the same upstream; a request that has been in flight for long counts as a slow response. Failures add to the
+ * load, so that a failing upstream does not look idle.
  */
 export class AdaptiveChooser implements Chooser {
     readonly name: ChooserName = "adaptive";
 
     select(input: ChooserInput): Selection {
-        const usualMs = medianLatencyMs(input.candidates);
-        return lowest(input, all(input), input.rank ?? (candidate => believedLoad(candidate, usualMs)));
+        const medianMs = medianLatencyMs(input.candidates);
+        return selectLowest(input, allIndexes(input), input.rank ?? (candidate => estimatedLoad(candidate, medianMs)));
     }
 }
 
-const believedLoad = (candidate: UpstreamFacts, usualMs: number): number => {
-    const reported = candidate.reportAgeMs < 0
+const estimatedLoad = (candidate: UpstreamFacts, medianMs: number): number => {
+    const reportedLoad = candidate.reportAgeMs < 0
         ? 0
         : reportWeight * candidate.reportedInFlight / candidate.slots * Math.exp(-candidate.reportAgeMs / reportDecayMs);
-    const cold = candidate.state === "cold" ? coldWeight : 0;
-    const distance = candidate.sameZone ? 0 : zoneWeight;
-    const load = candidate.inFlight + 1 + reported + cold + distance + failureWeight * candidate.failureRate;
-    return load * slownessOf(candidate, usualMs);
+    const coldPenalty = candidate.state === "cold" ? coldWeight : 0;
+    const zonePenalty = candidate.sameZone ? 0 : zoneWeight;
+    const load = candidate.inFlight + 1 + reportedLoad + coldPenalty + zonePenalty + failureWeight * candidate.failureRate;
+    return load * latencyPenalty(candidate, medianMs);
 };
 
-const slownessOf = (candidate: UpstreamFacts, usualMs: number): number => {
-    if (usualMs <= 0) {
+const latencyPenalty = (candidate: UpstreamFacts, medianMs: number): number => {
+    if (medianMs <= 0) {
         return 1;
     }
     const slowestMs = Math.max(candidate.latencyMs, candidate.oldestInFlightMs);
-    return Math.max(1, slowestMs / (usualSlowness * usualMs)) ** 2;
+    return Math.max(1, slowestMs / (slowLatencyRatio * medianMs)) ** 2;
 };
 
 const medianLatencyMs = (candidates: readonly UpstreamFacts[]): number => {
--- a/packages/decision/src/admission.ts
+++ b/packages/decision/src/admission.ts
@@ -1,82 +1,88 @@
 /**
- * Whether an upstream takes a request of this instance now, apart from how good it is.
+ * Whether an upstream may receive a request of this instance now, regardless of how well it performs.
  *
  * @packageDocumentation
  */
 
 import type { ColdAdmission } from "./cold-admission.js";
 import type { LimitAdmission, LimitPace } from "./limit-admission.js";
-import { type InFlightRequest, isSameIncarnation, type Tracked, type UpstreamEntry } from "./tracked-upstream.js";
+import { type InFlightRequest, isSameIncarnation, type TrackedUpstream, type UpstreamEntry } from "./tracked-upstream.js";
 import type { UpstreamWait } from "./upstream-backoff.js";
 import { atTime } from "./upstream-estimate.js";
 import type { UpstreamNotices } from "./upstream-notices.js";
 
 /** Options of {@link Admission}. */
 export interface AdmissionOptions {
-    /** Bounds what cold upstreams get from all instances. */
+    /** Limits the requests that cold upstreams receive from all instances. */
     readonly coldAdmission: ColdAdmission;
-    /** Bounds what upstreams get that name how much they take. */
+    /** Limits the requests to upstreams that announce a rate limit. */
     readonly limitAdmission: LimitAdmission;
-    /** What upstreams told of themselves. */
+    /** Notices that upstreams sent about themselves. */
     readonly notices: UpstreamNotices;
 }
 
 /** Admits requests of one service to its upstreams. */
 export class Admission {
-    /** Requests a second that a cold upstream bears from all instances together; 0 where that is not bounded. */
+    /** Requests per second that a cold upstream sustains from all instances together; 0 for no limit. */
     coldRequestsPerSecond = 0;
-    /** Requests that count against a limit that their upstream names. */
-    private readonly counted = new WeakSet<InFlightRequest>();
+    /** Requests that were counted against the rate limit of their upstream. */
+    private readonly countedRequests = new WeakSet<InFlightRequest>();
 
-    /** @param options - What binds it. */
+    /** @param options - The limits that apply. */
     constructor(private readonly options: AdmissionOptions) {}
 
-    /** Milliseconds for which an upstream wants nothing from this instance; 0 when it takes requests. */
-    restMs(upstream: UpstreamEntry): number {
+    /** Milliseconds for which an upstream asked to receive no requests; 0 when it accepts them. */
+    backoffMs(upstream: UpstreamEntry): number {
         return this.options.notices.remainingBackoffMs(upstream);
     }
 
-    /** Whether the start of an upstream that is tracked is a given one, stays, and does not rest. */
-    takes(tracked: Tracked | undefined, upstream: UpstreamEntry): tracked is Tracked {
+    /** Whether the tracked upstream is the given incarnation, is not draining and is not backing off. */
+    accepts(tracked: TrackedUpstream | undefined, upstream: UpstreamEntry): tracked is TrackedUpstream {
         return tracked !== undefined && isSameIncarnation(tracked.upstream, upstream)
-            && tracked.belief.state !== "draining" && this.restMs(upstream) === 0;
+            && tracked.estimate.state !== "draining" && this.backoffMs(upstream) === 0;
     }
 
-    /** How fast this instance may send to an upstream; `undefined` where that names no limit. */
+    /** The pace at which this instance may send to an upstream; `undefined` if it announced no rate limit. */
     paceOf(upstream: UpstreamEntry): LimitPace | undefined {
         return this.options.limitAdmission.paceOf(upstream);
     }
 
-    /** Whether an upstream bears one more request of this instance, cold or limited as it may be. */
-    admits({ upstream, belief: { state } }: Tracked): boolean {
+    /** Whether one more request may go to an upstream under its cold rate limit and its announced rate limit. */
+    admits({ upstream, estimate: { state } }: TrackedUpstream): boolean {
         const { coldAdmission } = this.options;
-        return (state !== "cold" || coldAdmission.mayAdmit(this.coldUpstream(upstream))) && !this.isLimited(upstream);
+        return (state !== "cold" || coldAdmission.mayAdmit(this.toColdUpstream(upstream))) && !this.isLimited(upstream);
     }
 
-    /** Notes that a request goes to an upstream. */
-    noteSent({ upstream, belief: { state } }: Tracked, flight: InFlightRequest): void {
+    /** Records that a request is sent to an upstream. */
+    recordSent({ upstream, estimate: { state } }: TrackedUpstream, request: InFlightRequest): void {
         if (state === "cold") {
-            this.options.coldAdmission.recordSent(this.coldUpstream(upstream));
+            this.options.coldAdmission.recordSent(this.toColdUpstream(upstream));
         }
-        this.count(upstream, flight);
+        this.countAgainstLimit(upstream, request);
     }
 
-    /** Whether a request that was chosen before may be sent now: a limit may have been named since, in which it has no part yet. */
-    mayBegin({ upstream }: Tracked, flight: InFlightRequest): boolean {
-        const mayBegin = this.counted.has(flight) || !this.isLimited(upstream);
-        if (mayBegin && !this.counted.has(flight)) {
-            this.count(upstream, flight);
+    /**
+     * Whether a request whose upstream was selected earlier may be sent now. The upstream may have announced a rate limit in
+     * the meantime; the request is then counted against it.
+     */
+    maySend({ upstream }: TrackedUpstream, request: InFlightRequest): boolean {
+        const maySend = this.countedRequests.has(request) || !this.isLimited(upstream);
+        if (maySend && !this.countedRequests.has(request)) {
+            this.countAgainstLimit(upstream, request);
         }
-        return mayBegin;
+        return maySend;
     }
 
-    /** For how long an upstream takes nothing from this instance. */
-    waitOf({ upstream, belief: { state } }: Tracked): UpstreamWait {
-        return { state, restMs: this.restMs(upstream), shareInMs: this.paceOf(upstream)?.waitMs ?? 0 };
+    /** How long an upstream accepts nothing from this instance. */
+    waitOf({ upstream, estimate: { state } }: TrackedUpstream): UpstreamWait {
+        return { state, restMs: this.backoffMs(upstream), shareInMs: this.paceOf(upstream)?.waitMs ?? 0 };
     }
 
-    /** This instance's even part of what some upstreams take, in requests a second; `undefined` where none names a limit. */
-    limitedPerSecond(upstreams: readonly UpstreamEntry[]): number | undefined {
+    /**
+     * This instance's even share of the announced rate limits, in requests per second; `undefined` if no upstream announced
+     * one.
+     */
+    permittedPerSecond(upstreams: readonly UpstreamEntry[]): number | undefined {
         if (this.options.limitAdmission.hasNoLimits) {
             return undefined;
         }
@@ -84,26 +90,26 @@
         return paces.length === 0 ? undefined : paces.reduce((sum, { perSecond, members }) => sum + perSecond / members, 0);
     }
 
-    /** Whether an upstream names a limit that leaves nothing to this instance now. */
+    /** Whether the rate limit of an upstream permits no request of this instance now. */
     private isLimited(upstream: UpstreamEntry): boolean {
         return (this.paceOf(upstream)?.waitMs ?? 0) > 0;
     }
 
-    private count(upstream: UpstreamEntry, flight: InFlightRequest): void {
+    private countAgainstLimit(upstream: UpstreamEntry, request: InFlightRequest): void {
         if (this.options.limitAdmission.recordSent(upstream)) {
-            this.counted.add(flight);
+            this.countedRequests.add(request);
         }
     }
 
-    /** Whether an upstream may be chosen as things are at some time. */
-    mayBeChosen(tracked: Tracked, nowMs: number): boolean {
-        const { upstream, flights } = tracked;
-        const belief = atTime(tracked.belief, nowMs);
-        const isOut = belief.state === "draining" || belief.state === "ejected" || this.restMs(upstream) > 0;
-        return !isOut && flights.size < Math.floor(belief.limit) && this.admits({ ...tracked, belief });
+    /** Whether an upstream may be selected at a given time. */
+    isEligible(tracked: TrackedUpstream, nowMs: number): boolean {
+        const { upstream, inFlightRequests } = tracked;
+        const estimate = atTime(tracked.estimate, nowMs);
+        const isUnavailable = estimate.state === "draining" || estimate.state === "ejected" || this.backoffMs(upstream) > 0;
+        return !isUnavailable && inFlightRequests.size < Math.floor(estimate.limit) && this.admits({ ...tracked, estimate });
     }
 
-    private coldUpstream({ id }: UpstreamEntry) {
+    private toColdUpstream({ id }: UpstreamEntry) {
         return { id, requestsPerSecond: this.coldRequestsPerSecond };
     }
 }
--- a/packages/decision/src/attempt-result.ts
+++ b/packages/decision/src/attempt-result.ts
@@ -1,5 +1,5 @@
 /**
- * What became of one attempt at an upstream.
+ * The result of one attempt to send a request to an upstream.
  *
  * @packageDocumentation
  */
@@ -9,35 +9,35 @@
 /**
  * How an attempt ended.
  *
- * - `answered`: a whole answer, or the head of one that is being passed on.
- * - `shed`: the upstream said that it did not run the request.
+ * - `answered`: a complete response, or the head of one that is streamed to the caller.
+ * - `shed`: the upstream reported that it did not run the request.
  * - `connect-failed`: no connection; nothing was sent.
- * - `withdrawn`: this side took it back before anything was sent, since the upstream takes no new work any more.
+ * - `withdrawn`: this instance stopped the attempt before anything was sent, because the upstream accepts no new requests.
  * - `reset`: the connection broke after the request may have been sent.
- * - `garbled`: the answer broke the rules of HTTP.
- * - `timed-out`: no answer before the deadline.
- * - `cancelled`: this side gave up, for example because the caller left.
+ * - `garbled`: the response was not valid HTTP.
+ * - `timed-out`: no response before the deadline.
+ * - `cancelled`: this instance stopped the attempt, for example because the caller disconnected.
  */
 export type AttemptEnd = "answered" | "shed" | "connect-failed" | "withdrawn" | "reset" | "garbled" | "timed-out" | "cancelled";
 
 /** The result of one attempt. */
 export interface AttemptResult {
     readonly end: AttemptEnd;
-    /** Status of the answer; `undefined` without one. */
+    /** Status of the response; `undefined` without one. */
     readonly status: number | undefined;
-    /** Detail for operators, for example the error's code. */
+    /** Detail for operators, for example the error code. */
     readonly detail: string;
     /** Whether any byte of the request may have reached the upstream. */
     readonly sent: boolean;
-    /** Whether the upstream's machine refused the connection: no process listens there. */
+    /** Whether the upstream's host refused the connection, so that no process listens there. */
     readonly refused?: boolean;
 }
 
 /**
- * Says what is known of a request from how its attempt ended.
+ * Returns whether a request ran, as far as the end of its attempt shows it.
  *
- * Only evidence gives `not-run`: the upstream's own word, or that nothing was
- * sent. A reset, a time-out and a cancellation after sending leave it unknown.
+ * The result is `not-run` only if the upstream reported it or nothing was sent. After a reset, a timeout or a cancellation it
+ * is `unknown`.
  */
 export const outcomeOf = (result: Pick<AttemptResult, "end" | "sent">): Outcome => {
     if (result.end === "answered") {
--- a/packages/decision/src/caller-timeout-estimator.ts
+++ b/packages/decision/src/caller-timeout-estimator.ts
@@ -1,48 +1,48 @@
 /**
- * How long callers usually wait for each kind of request, and so how long ago a caller first tried.
+ * Estimates the timeouts that callers use for each kind of request, and thereby how long ago a caller sent its first attempt.
  *
  * @packageDocumentation
  */
 
-/** Arrivals that are remembered for each kind. */
-const remembered = 64;
+/** Arrivals that are stored for each kind. */
+const maximumArrivals = 64;
 
-/** Arrivals before which nothing is known. */
-const minimumKnown = 8;
+/** Arrivals from which there is an estimate. */
+const minimumArrivals = 8;
 
 /**
- * The arrival, in order of patience, that shows a first try: most of those with more are callers of their own sort,
- * most of those with less have tried before and used up a part of their time.
+ * Quantile of the remaining timeouts that belongs to a first attempt: most higher ones belong to callers with another timeout,
+ * most lower ones to retries, whose timeout is partly used up.
  */
-const firstTryShare = 0.8;
+const firstAttemptQuantile = 0.8;
 
 /**
- * Learns from the time that callers are willing to wait when they arrive.
+ * Estimates from the remaining timeouts of arriving requests.
  *
- * Without it, callers who come back late pass for new and take the place of those who can still be in time.
+ * Without it, retries would count as new requests and take the place of those that can still be in time.
  */
 export class CallerTimeoutEstimator {
     private readonly recent = new Map<string, number[]>();
 
     /**
-     * Notes an arrival.
+     * Records an arrival.
      *
      * @param kind - The kind of the request.
-     * @param patienceMs - For how long its caller is still willing to wait.
-     * @returns Time since the caller's first try, as far as its patience shows it, in milliseconds; 0 while too little is known.
+     * @param remainingMs - How long its caller still waits.
+     * @returns Estimated time since the caller's first attempt, in milliseconds; 0 without enough arrivals.
      */
-    record(kind: string, patienceMs: number): number {
+    record(kind: string, remainingMs: number): number {
         const arrivals = this.recent.get(kind) ?? [];
-        arrivals.push(patienceMs);
-        if (arrivals.length > remembered) {
+        arrivals.push(remainingMs);
+        if (arrivals.length > maximumArrivals) {
             arrivals.shift();
         }
         this.recent.set(kind, arrivals);
-        return arrivals.length < minimumKnown ? 0 : Math.max(0, usualOf(arrivals) - patienceMs);
+        return arrivals.length < minimumArrivals ? 0 : Math.max(0, firstAttemptTimeout(arrivals) - remainingMs);
     }
 }
 
-const usualOf = (arrivals: readonly number[]): number => {
+const firstAttemptTimeout = (arrivals: readonly number[]): number => {
     const sorted = [...arrivals].sort((a, b) => a - b);
-    return sorted[Math.floor(sorted.length * firstTryShare)] ?? 0;
+    return sorted[Math.floor(sorted.length * firstAttemptQuantile)] ?? 0;
 };
--- a/packages/decision/src/chooser.ts
+++ b/packages/decision/src/chooser.ts
@@ -1,5 +1,5 @@
 /**
- * Choosers: the ways to pick one of several candidates.
+ * Choosers: algorithms that select one of several candidates.
  *
  * @packageDocumentation
  */
@@ -7,29 +7,32 @@
 import type { ChooserName } from "@harrierhitch/configuration";
 import type { UpstreamFacts } from "@harrierhitch/policy";
 
-/** What a chooser may look at. */
+/** Input of a chooser. */
 export interface ChooserInput {
     /** The candidates, at least one. */
     readonly candidates: readonly UpstreamFacts[];
-    /** Rank of a candidate by the policy; `undefined` when the policy has no rank. It is asked only of candidates that are compared. */
+    /**
+     * Rank of a candidate by the policy; `undefined` when the policy has no rank. Evaluated only for candidates that are
+     * compared.
+     */
     readonly rank: ((candidate: UpstreamFacts) => number) | undefined;
     /** Random numbers, each at least 0 and below 1. */
     readonly draws: readonly number[];
-    /** Running number of the service's decisions. */
+    /** Sequence number of the decision within its service. */
     readonly sequence: number;
 }
 
-/** What a chooser picked. */
+/** Result of a chooser. */
 export interface Selection {
-    /** Index of the chosen candidate. */
+    /** Index of the selected candidate. */
     readonly index: number;
     /** Scores of the candidates that were compared, by index; holes for the others. */
     readonly scores: readonly (number | undefined)[];
 }
 
-/** A way to pick one candidate. It has no state: the same input gives the same choice. */
+/** Selects one candidate. It has no state: the same input gives the same selection. */
 export interface Chooser {
     readonly name: ChooserName;
-    /** Picks one of the candidates. */
+    /** Selects one of the candidates. */
     select(input: ChooserInput): Selection;
 }
--- a/packages/decision/src/cold-admission.ts
+++ b/packages/decision/src/cold-admission.ts
@@ -1,16 +1,15 @@
 /**
- * Which requests of this instance may go to upstreams that are cold, so that all instances together stay below the few
- * requests a second that such an upstream bears.
+ * Admission of requests to cold upstreams, which sustain only a few requests per second from all instances together.
  *
  * @packageDocumentation
  */
 
 import type { Clock, UpstreamId } from "@harrierhitch/core";
 
-/** A cold upstream, as far as its admission depends on it. */
+/** The properties of a cold upstream that its admission depends on. */
 export interface ColdUpstream {
     readonly id: UpstreamId;
-    /** Requests a second that it bears from all instances together; 0 where that is not bounded. */
+    /** Requests per second that it sustains from all instances together; 0 for no limit. */
     readonly requestsPerSecond: number;
 }
 
@@ -18,11 +17,11 @@
 export interface ColdAdmission {
     /** Whether a request of this instance may go to a cold upstream now. */
     mayAdmit(upstream: ColdUpstream): boolean;
-    /** Notes that one goes there. */
+    /** Records that a request is sent there. */
     recordSent(upstream: ColdUpstream): void;
 }
 
-/** Admits everything: for an instance that knows of no bound. */
+/** Admits every request. */
 export const unboundedColdAdmission: ColdAdmission = {
     mayAdmit: () => true,
     recordSent: () => undefined,
@@ -32,8 +31,8 @@
 export interface SharedColdAdmissionOptions {
     readonly clock: Clock;
     /**
-     * How many instances share an upstream, this one among them; 0 where this one is none of them, or does not know the
-     * others yet.
+     * Returns how many instances send to an upstream while it is cold, including this one; 0 if this one does not, or does not
+     * know the other members yet.
      */
     readonly participantsOf: (upstream: UpstreamId) => number;
 }
@@ -41,33 +40,32 @@
 const secondMs = 1000;
 
 /**
- * Gives each cold upstream to a few instances, which share its rate in even steps; all others leave it alone.
+ * Assigns each cold upstream to a few instances, which send to it at even intervals. The other instances send nothing.
  *
- * Even steps bound the sum in every second, not on average, also while views of the fleet share no member; random moments at the
- * same rate would pass it in some second of some day.
+ * Even intervals limit the sum in every second, not only on average, also while parts of the fleet do not know each other.
  */
 export class SharedColdAdmission implements ColdAdmission {
     private readonly sentAtMs = new Map<UpstreamId, number>();
 
-    /** @param options - Clock and who shares. */
+    /** @param options - The clock and the participants. */
     constructor(private readonly options: SharedColdAdmissionOptions) {}
 
     mayAdmit({ id, requestsPerSecond }: ColdUpstream): boolean {
         if (requestsPerSecond <= 0) {
             return true;
         }
-        const sharers = this.options.participantsOf(id);
-        const gapMs = sharers / requestsPerSecond * secondMs;
-        return sharers > 0 && this.options.clock.nowMs() - (this.sentAtMs.get(id) ?? -Infinity) >= gapMs;
+        const participants = this.options.participantsOf(id);
+        const intervalMs = participants / requestsPerSecond * secondMs;
+        return participants > 0 && this.options.clock.nowMs() - (this.sentAtMs.get(id) ?? -Infinity) >= intervalMs;
     }
 
     recordSent({ id }: ColdUpstream): void {
         const nowMs = this.options.clock.nowMs();
-        // What was sent long ago binds nothing any more; upstreams come and go.
-        this.sentAtMs.forEach((atMs, known) => nowMs - atMs > forgetMs ? this.sentAtMs.delete(known) : undefined);
+        // Old entries no longer limit anything, and upstreams come and go.
+        this.sentAtMs.forEach((atMs, known) => nowMs - atMs > retentionMs ? this.sentAtMs.delete(known) : undefined);
         this.sentAtMs.set(id, nowMs);
     }
 }
 
-/** Time after which a request is forgotten: longer than any step of a sharer. */
-const forgetMs = 60_000;
+/** Time after which a sent request is evicted, in milliseconds: longer than any interval. */
+const retentionMs = 60_000;
--- a/packages/decision/src/compare.ts
+++ b/packages/decision/src/compare.ts
@@ -1,5 +1,5 @@
 /**
- * Helpers that choosers share: comparing scores and drawing candidates.
+ * Functions that choosers share: comparing scores and sampling candidates.
  *
  * @packageDocumentation
  */
@@ -7,17 +7,17 @@
 import type { UpstreamFacts } from "@harrierhitch/policy";
 import type { ChooserInput, Selection } from "./chooser.js";
 
-/** Gives one candidate a score; lower is better. */
+/** Returns the score of a candidate; lower is better. */
 export type Score = (candidate: UpstreamFacts) => number;
 
 /**
- * Picks the lowest score among some candidates; ties go round, by the first draw.
+ * Selects the candidate with the lowest score; the first random number breaks ties.
  *
  * @param input - The chooser's input.
  * @param indexes - The candidates to compare.
  * @param score - Their score.
  */
-export const lowest = (input: ChooserInput, indexes: readonly number[], score: Score): Selection => {
+export const selectLowest = (input: ChooserInput, indexes: readonly number[], score: Score): Selection => {
     const scores: (number | undefined)[] = [];
     let ties: number[] = [];
     let best = Infinity;
@@ -32,34 +32,34 @@
             ties.push(index);
         }
     });
-    return { index: ties[pick(input.draws[0], ties.length)] ?? indexes[0] ?? 0, scores };
+    return { index: ties[drawIndex(input.draws[0], ties.length)] ?? indexes[0] ?? 0, scores };
 };
 
-/** Indexes of all candidates. */
-export const all = (input: ChooserInput): readonly number[] => input.candidates.map((_, index) => index);
+/** Returns the indexes of all candidates. */
+export const allIndexes = (input: ChooserInput): readonly number[] => input.candidates.map((_, index) => index);
 
 /**
- * Draws different candidates at random.
+ * Samples distinct candidates at random.
  *
- * @param input - The chooser's input; draw `k + 1` picks the `k`-th candidate.
- * @param count - How many, at most as many as there are draws left.
+ * @param input - The chooser's input; random number `k + 1` selects the `k`-th candidate.
+ * @param count - How many, at most as many as there are random numbers left.
  */
-export const sample = (input: ChooserInput, count: number): readonly number[] => {
+export const sampleIndexes = (input: ChooserInput, count: number): readonly number[] => {
     const total = input.candidates.length;
-    const chosen: number[] = [];
-    for (let turn = 0; turn < Math.min(count, total); turn += 1) {
-        // The k-th draw picks among those not yet chosen: skip the chosen ones below it, lowest first.
-        let position = pick(input.draws[turn + 1], total - turn);
-        [...chosen].sort((a, b) => a - b).forEach(earlier => {
+    const sampled: number[] = [];
+    for (let step = 0; step < Math.min(count, total); step += 1) {
+        // The number selects among the candidates not yet sampled: skip the sampled ones below it, lowest first.
+        let position = drawIndex(input.draws[step + 1], total - step);
+        [...sampled].sort((a, b) => a - b).forEach(earlier => {
             position += earlier <= position ? 1 : 0;
         });
-        chosen.push(position);
+        sampled.push(position);
     }
-    return chosen;
+    return sampled;
 };
 
-/** Maps a draw to a whole number below `count`. */
-export const pick = (draw: number | undefined, count: number): number => Math.floor((draw ?? 0) * count);
+/** Maps a random number to an integer below `count`. */
+export const drawIndex = (draw: number | undefined, count: number): number => Math.floor((draw ?? 0) * count);
 
 const candidateAt = (input: ChooserInput, index: number): UpstreamFacts => {
     const candidate = input.candidates[index];
--- a/packages/decision/src/contention.ts
+++ b/packages/decision/src/contention.ts
@@ -1,168 +1,165 @@
 /**
- * How much longer work takes as the slots of an upstream fill.
+ * How much longer work takes as the slots of an upstream are used up.
  *
- * An upstream that slows down when it is nearly full answers fewer requests in a given time than one that is kept below that
- * point.
+ * An upstream that slows down when it is nearly full has a higher throughput if it is kept below that point.
  *
  * @packageDocumentation
  */
 
-/** Time that the work of one answer took, in times of usual work. */
-interface WorkFactor {
+/** Service time of one response, as a multiple of the baseline. */
+interface ServiceTimeSample {
     readonly factor: number;
     readonly atMs: number;
 }
 
-/** How much longer work takes at each step of {@link fills} than at an idle upstream; never falling. */
-export type CrowdingFactors = readonly number[];
+/** Service time at each step of {@link utilizationSteps}, as a multiple of that of an idle upstream; never decreasing. */
+export type ContentionFactors = readonly number[];
 
 /** A learned curve, from an idle upstream to one whose slots are all in use. */
-export interface CrowdingCurve {
-    /** Answers by step. */
-    readonly answers: readonly (readonly WorkFactor[])[];
-    /** What answers tell; where they are too few, as if upstreams slowed down above {@link assumedKnee}. */
-    readonly pessimistic: CrowdingFactors;
-    /** What answers tell; where they are too few, as if upstreams never slowed down: what a trial goes by. */
-    readonly optimistic: CrowdingFactors;
+export interface ContentionCurve {
+    /** Samples by step. */
+    readonly samples: readonly (readonly ServiceTimeSample[])[];
+    /** Factors from the samples; where there are too few, upstreams are assumed to slow down above {@link assumedKnee}. */
+    readonly pessimistic: ContentionFactors;
+    /** Factors from the samples; where there are too few, upstreams are assumed not to slow down. Used for exploration. */
+    readonly optimistic: ContentionFactors;
 }
 
 /** Shares of the slots in use at which the steps end. */
-const fills = [0.5, 0.7, 0.8, 1];
+const utilizationSteps = [0.5, 0.7, 0.8, 1];
 
-/** Share of the slots in use above which an upstream is assumed to slow down until answers tell. */
+/** Share of the slots in use above which an upstream is assumed to slow down. */
 const assumedKnee = 0.8;
 
-/** How much longer work is assumed to take above it: enough to keep the last slots free. */
+/** Factor assumed above the knee: enough to keep the last slots free. */
 const assumedFactor = 1.7;
 
-/** Answers by which a step is known. */
-const enoughAnswers = 3;
+/** Samples from which a step is considered known. */
+const minimumSamples = 3;
 
-/** Answers that are remembered for each step. */
-const remembered = 30;
+/** Samples that are stored for each step. */
+const maximumSamples = 30;
 
-/** Time for which they are remembered, in milliseconds: a release may change how upstreams behave. */
-const rememberedMs = 60_000;
+/** Time for which samples are stored, in milliseconds: a deployment may change the behaviour of upstreams. */
+const retentionMs = 60_000;
 
-/** Thirds of slots add up to a little more or less than one. */
+/** Tolerance for sums of fractions of slots. */
 const roundingError = 1e-9;
 
 /**
- * Makes the curve that follows from an answer.
+ * Returns the curve with one more sample.
  *
  * @param curve - The curve so far.
- * @param fill - Share of the slots in use with the request; above 1 it waited first, which tells nothing of crowding.
- * @param factor - Time that its work took, in times of usual work.
- * @param atMs - Time of the answer.
+ * @param utilization - Share of the slots in use, including the request. Above 1 the request was queued first, and the sample
+ *   is ignored.
+ * @param factor - Its service time, as a multiple of the baseline.
+ * @param atMs - Time of the response.
  */
-export const noteCrowding = (curve: CrowdingCurve, fill: number, factor: number, atMs: number): CrowdingCurve => {
-    if (fill > 1) {
+export const recordContention = (curve: ContentionCurve, utilization: number, factor: number, atMs: number): ContentionCurve => {
+    if (utilization > 1) {
         return curve;
     }
-    const index = stepOf(fill);
-    const noted = curve.answers.map((step, at) => at === index ? [...step, { factor, atMs }] : step);
-    return toCurve(noted.map(step => stillRemembered(step, atMs)));
+    const index = stepOf(utilization);
+    const next = curve.samples.map((step, at) => at === index ? [...step, { factor, atMs }] : step);
+    return toCurve(next.map(step => removeExpired(step, atMs)));
 };
 
-/** Requests expected in flight below which an upstream is most likely empty, and counts as that. */
-const emptyBelow = 0.5;
+/** Expected requests in flight below which an upstream counts as idle. */
+const idleBelow = 0.5;
 
 /**
- * How much longer one more request takes at an upstream than it would alone there; beyond all slots, as long as at all
- * of them.
+ * Returns how much longer one more request takes at an upstream than it would alone there.
  *
- * Between whole requests the curve is a straight line, as an expectation of 1.4 requests means two in two cases of five;
- * what is most likely empty counts as empty. Looked up by steps, a trace of a request would lift an empty upstream over the
- * step that ends at half of its slots, and everyone would be held though nearly all are free.
+ * The expected number of requests is fractional, so the factor is interpolated between whole numbers.
  *
- * @param factors - What is known of the service's upstreams.
- * @param inFlight - Requests expected in flight there, with a fraction.
+ * @param factors - The factors of the service.
+ * @param inFlight - Expected requests in flight there, with a fraction.
  * @param slots - Its slots.
  */
-export const crowdingOf = (factors: CrowdingFactors, inFlight: number, slots: number): number => {
+export const contentionOf = (factors: ContentionFactors, inFlight: number, slots: number): number => {
     const factorWith = (others: number): number => factorAt(factors, (others + 1) / slots);
-    const whole = Math.floor(inFlight);
-    const share = inFlight - whole;
-    return inFlight < emptyBelow ? 1 : ((1 - share) * factorWith(whole) + share * factorWith(whole + 1)) / factorWith(0);
+    const lower = Math.floor(inFlight);
+    const fraction = inFlight - lower;
+    return inFlight < idleBelow ? 1 : ((1 - fraction) * factorWith(lower) + fraction * factorWith(lower + 1)) / factorWith(0);
 };
 
-const factorAt = (factors: CrowdingFactors, fill: number): number => factors[stepOf(fill)] ?? 1;
+const factorAt = (factors: ContentionFactors, utilization: number): number => factors[stepOf(utilization)] ?? 1;
 
-/**
- * Requests in flight at which an upstream answers most in a given time: one more makes all that start then so slow
- * that fewer are answered.
- */
-export const bestInFlight = (factors: CrowdingFactors, slots: number): number => {
-    const known = bestCounts.get(factors) ?? new Map<number, number>();
-    bestCounts.set(factors, known);
-    const best = known.get(slots) ?? findBest(factors, slots);
-    known.set(slots, best);
+/** Returns the number of requests in flight at which the throughput of an upstream is highest. */
+export const optimalConcurrency = (factors: ContentionFactors, slots: number): number => {
+    const cached = optimalConcurrencies.get(factors) ?? new Map<number, number>();
+    optimalConcurrencies.set(factors, cached);
+    const best = cached.get(slots) ?? findOptimalConcurrency(factors, slots);
+    cached.set(slots, best);
     return best;
 };
 
-/** What was found before: decisions ask for every upstream, and the curve changes only with answers. */
-const bestCounts = new WeakMap<CrowdingFactors, Map<number, number>>();
+/** Cache: every decision needs the result for every upstream, and the curve changes only with responses. */
+const optimalConcurrencies = new WeakMap<ContentionFactors, Map<number, number>>();
 
-const findBest = (factors: CrowdingFactors, slots: number): number => {
-    const counts = fills.map(fill => Math.floor(fill * slots + roundingError)).filter(count => count > 0);
-    const answered = (count: number): number => count / factorAt(factors, count / slots);
-    return counts.reduce((best, count) => answered(count) >= answered(best) ? count : best, 1);
+const findOptimalConcurrency = (factors: ContentionFactors, slots: number): number => {
+    const counts = utilizationSteps.map(utilization => Math.floor(utilization * slots + roundingError)).filter(count =>
+        count > 0
+    );
+    const throughput = (count: number): number => count / factorAt(factors, count / slots);
+    return counts.reduce((best, count) => throughput(count) >= throughput(best) ? count : best, 1);
 };
 
-const toCurve = (answers: CrowdingCurve["answers"]): CrowdingCurve => ({
-    answers,
-    pessimistic: toFactors(answers, fill => fill > assumedKnee ? assumedFactor : 1),
-    optimistic: toFactors(answers, () => 1),
+const toCurve = (samples: ContentionCurve["samples"]): ContentionCurve => ({
+    samples,
+    pessimistic: toFactors(samples, utilization => utilization > assumedKnee ? assumedFactor : 1),
+    optimistic: toFactors(samples, () => 1),
 });
 
-/** Steps whose order the scatter of few answers has turned are taken together. */
-const toFactors = (answers: CrowdingCurve["answers"], unknown: (fill: number) => number): CrowdingFactors => {
-    const emptiest = answers.findIndex(step => step.length >= enoughAnswers);
-    // Where the emptiest step is unknown, it is as the emptiest known one: usual work is not exactly what answers there took.
-    const base = emptiest < 0 ? 1 : toPool(answers[emptiest] ?? [], 1).factor / unknown(fills[emptiest] ?? 1);
-    const pools = answers.map((step, index) => toPool(step, base * unknown(fills[index] ?? 1)));
-    const rising = pools.reduce<readonly Pool[]>((joined, pool) => joinFalling([...joined, pool]), []);
-    const factors = rising.flatMap(({ factor, steps }) => Array.from({ length: steps }, () => factor));
+/** Merges steps whose factors decrease because of noise in few samples. */
+const toFactors = (samples: ContentionCurve["samples"], assumed: (utilization: number) => number): ContentionFactors => {
+    const firstKnown = samples.findIndex(step => step.length >= minimumSamples);
+    // If the idle step has too few samples, it is inferred from the first step with enough: the baseline may be off by some
+    // factor.
+    const base = firstKnown < 0 ? 1 : toPool(samples[firstKnown] ?? [], 1).factor / assumed(utilizationSteps[firstKnown] ?? 1);
+    const pools = samples.map((step, index) => toPool(step, base * assumed(utilizationSteps[index] ?? 1)));
+    const merged = pools.reduce<readonly Pool[]>((previous, pool) => mergeDecreasing([...previous, pool]), []);
+    const factors = merged.flatMap(({ factor, steps }) => Array.from({ length: steps }, () => factor));
     const idle = factors[0] ?? 1;
     return factors.map(factor => factor / idle);
 };
 
-/** Steps that are taken together. */
+/** Adjacent steps that share one factor. */
 interface Pool {
     readonly factor: number;
-    /** How much the factor counts. */
+    /** Weight of the factor when it is merged. */
     readonly weight: number;
     readonly steps: number;
 }
 
-/** Takes the median: requests that met others on their way, and so waited first, are few but far out. */
-const toPool = (answers: readonly WorkFactor[], unknown: number): Pool => {
-    if (answers.length < enoughAnswers) {
-        return { factor: unknown, weight: 1, steps: 1 };
+/** Takes the median, because requests that were queued first are few but far above the others. */
+const toPool = (samples: readonly ServiceTimeSample[], assumed: number): Pool => {
+    if (samples.length < minimumSamples) {
+        return { factor: assumed, weight: 1, steps: 1 };
     }
-    const sorted = answers.map(({ factor }) => factor).sort((a, b) => a - b);
-    return { factor: sorted[Math.floor(sorted.length / 2)] ?? unknown, weight: sorted.length, steps: 1 };
+    const sorted = samples.map(({ factor }) => factor).sort((a, b) => a - b);
+    return { factor: sorted[Math.floor(sorted.length / 2)] ?? assumed, weight: sorted.length, steps: 1 };
 };
 
-const joinFalling = (pools: readonly Pool[]): readonly Pool[] => {
+const mergeDecreasing = (pools: readonly Pool[]): readonly Pool[] => {
     const [before, last] = pools.slice(-2);
     return before === undefined || last === undefined || before.factor <= last.factor
         ? pools
-        : joinFalling([...pools.slice(0, -2), join(before, last)]);
+        : mergeDecreasing([...pools.slice(0, -2), mergePools(before, last)]);
 };
 
-const join = (a: Pool, b: Pool): Pool => {
+const mergePools = (a: Pool, b: Pool): Pool => {
     const weight = a.weight + b.weight;
     return { factor: (a.factor * a.weight + b.factor * b.weight) / weight, weight, steps: a.steps + b.steps };
 };
 
-const stillRemembered = (answers: readonly WorkFactor[], nowMs: number): readonly WorkFactor[] =>
-    answers.filter(({ atMs }) => nowMs - atMs <= rememberedMs).slice(-remembered);
+const removeExpired = (samples: readonly ServiceTimeSample[], nowMs: number): readonly ServiceTimeSample[] =>
+    samples.filter(({ atMs }) => nowMs - atMs <= retentionMs).slice(-maximumSamples);
 
-const stepOf = (fill: number): number => {
-    const index = fills.findIndex(end => fill <= end + roundingError);
-    return index < 0 ? fills.length - 1 : index;
+const stepOf = (utilization: number): number => {
+    const index = utilizationSteps.findIndex(end => utilization <= end + roundingError);
+    return index < 0 ? utilizationSteps.length - 1 : index;
 };
 
-/** The curve before any answer. */
-export const initialCrowding: CrowdingCurve = toCurve(fills.map(() => []));
+/** The curve without samples. */
+export const initialContention: ContentionCurve = toCurve(utilizationSteps.map(() => []));
--- a/packages/decision/src/crash-history.ts
+++ b/packages/decision/src/crash-history.ts
@@ -1,8 +1,7 @@
 /**
- * What the fleet remembers of upstreams that ended under requests.
+ * The crash records of the fleet.
  *
- * Entries are facts that no clock orders: a run has ended with its upstream, or has and its request was answered since.
- * Any order and any number of deliveries ends in the same state, and each instance takes each fact as news once.
+ * Records are merged without regard to order: any sequence of deliveries, with repetitions, ends in the same state.
  *
  * @packageDocumentation
  */
@@ -11,225 +10,236 @@
 import type { CrashRecord } from "./crash-record.js";
 import { detectPoisonRequests } from "./poison-detection.js";
 import { isTrialDue } from "./quarantine-trial.js";
-import { agreeingSets, matches, pathPartOf, type RequestSignature, signatureOf, traitSets } from "./request-attributes.js";
-import { AnsweredKeys } from "./succeeded-keys.js";
+import { attributeMasks, commonMasks, matches, pathPartOf, type RequestSignature, signatureOf } from "./request-attributes.js";
+import { SucceededKeys } from "./succeeded-keys.js";
 
 /** Options of {@link CrashHistory}. */
 export interface CrashHistoryOptions {
     readonly clock: Clock;
-    /** Told of requests that are withheld from now on, with the runs that settled it. */
-    readonly onQuarantined?: (pattern: RequestSignature, runs: readonly CrashRecord[]) => void;
-    /** Told of requests that are no longer withheld. */
-    readonly onReleased?: (pattern: RequestSignature) => void;
+    /** Called when requests become quarantined, with the records that are the evidence. */
+    readonly onQuarantined?: (signature: RequestSignature, records: readonly CrashRecord[]) => void;
+    /** Called when requests are no longer quarantined. */
+    readonly onReleased?: (signature: RequestSignature) => void;
 }
 
-interface Entry {
-    readonly run: CrashRecord;
-    /** When this instance learned what it says now. */
-    readonly learnedAtMs: number;
+interface StoredRecord {
+    readonly record: CrashRecord;
+    /** When this instance last changed the record. */
+    readonly changedAtMs: number;
 }
 
-/** Time for which a change is passed on with every exchange: longer than any takes to reach everyone. */
-const passOnMs = 10_000;
+/** Time for which a change is sent with every exchange, in milliseconds: longer than gossip takes to reach all members. */
+const gossipMs = 10_000;
 
-/** Time for which a run counts against a request that is not withheld: longer than callers wait before they come again. */
-const suspectMs = 600_000;
+/**
+ * Time for which a record counts against a request that is not quarantined, in milliseconds: longer than callers wait before
+ * they retry.
+ */
+const suspectRetentionMs = 600_000;
 
-/** Time for which a request is withheld: an upstream that was mended gets it again within the hour. */
-const withholdMs = 3_600_000;
+/** Time for which a request stays quarantined, in milliseconds. */
+const quarantineMs = 3_600_000;
 
-/** A run this much younger than the time it is kept for is taken in, so that none that was forgotten comes back from others. */
-const forgottenMarginMs = 30_000;
+/** Records within this time of their expiry are not accepted, so that peers do not bring back expired ones. */
+const expiryMarginMs = 30_000;
 
-/** Most runs that are kept: 100 bytes each, and ten requests under way at each of 50 upstreams that end. */
-const maximumRuns = 512;
+/** Most records that are stored. */
+const maximumRecords = 512;
 
-/** Most runs in one message, which bounds its bytes; those that settled something go first. */
-const maximumTold = 64;
+/** Most records in one message, which limits its size; evidence for quarantines goes first. */
+const maximumRecordsSent = 64;
 
-/** Remembers runs that ended with their upstreams, and tells which requests are withheld for them. */
+/** Stores crash records and decides which requests are quarantined because of them. */
 export class CrashHistory {
-    private readonly entries = new Map<string, Entry>();
-    private readonly answered = new AnsweredKeys();
-    private verdicts: ReadonlyMap<RequestSignature, readonly CrashRecord[]> = new Map();
-    /** What was ever withheld, here or by another instance, as long as runs of it are remembered. */
-    private agreed: ReadonlySet<RequestSignature> = new Set();
-    /** Requests that lost an upstream and were not answered since. */
+    private readonly entries = new Map<string, StoredRecord>();
+    private readonly succeededKeys = new SucceededKeys();
+    private quarantines: ReadonlyMap<RequestSignature, readonly CrashRecord[]> = new Map();
+    /** Quarantines that this or another instance has found, as long as records of them are stored. */
+    private agreedSignatures: ReadonlySet<RequestSignature> = new Set();
+    /** Requests that were lost in a crash and have not succeeded since. */
     private suspects: ReadonlySet<RequestKey> = new Set();
-    /** Method, host and path of the runs that are remembered. */
+    /** Method, host and path of the stored records. */
     private suspectPaths: ReadonlySet<string> = new Set();
-    /** When the oldest entry is to be looked at again. */
-    private staleAtMs = Infinity;
+    /** When the first record expires. */
+    private nextExpiryAtMs = Infinity;
 
-    /** @param options - The clock, and who is told of verdicts. */
+    /** @param options - The clock and the listeners. */
     constructor(private readonly options: CrashHistoryOptions) {}
 
-    /** Runs that are remembered. */
+    /** Number of stored records. */
     get size(): number {
         return this.entries.size;
     }
 
-    /** What is withheld: what the requests have in common. */
+    /** The signatures of the quarantined requests. */
     get quarantined(): readonly RequestSignature[] {
-        this.forgetOld();
-        return [...this.verdicts.keys()];
+        this.removeExpired();
+        return [...this.quarantines.keys()];
     }
 
-    /** Whether a request is not to be sent, because upstreams end under it. */
+    /** Whether a request must not be sent, because upstreams crash while processing it. */
     isQuarantined(key: RequestKey): boolean {
         return this.matchingQuarantines(key).length > 0;
     }
 
-    /** What a request is withheld for. */
+    /** Returns the quarantined signatures that match a request. */
     matchingQuarantines(key: RequestKey): readonly RequestSignature[] {
-        this.forgetOld();
-        return this.verdicts.size === 0
+        this.removeExpired();
+        return this.quarantines.size === 0
             ? []
-            : [...new Set(traitSets.map(set => signatureOf(key, set)))].filter(pattern => this.verdicts.has(pattern));
+            : [...new Set(attributeMasks.map(mask => signatureOf(key, mask)))].filter(signature =>
+                this.quarantines.has(signature)
+            );
     }
 
     /**
-     * Whether what is withheld may be tried once by one instance: some time has passed, and nobody has tried it.
+     * Whether one instance may send one quarantined request as a trial: some time has passed, and no trial has failed yet.
      *
-     * @param pattern - What is withheld.
+     * @param signature - The quarantined signature.
      */
-    isTrialDue(pattern: RequestSignature): boolean {
-        const own = this.runs.filter(({ key }) => matches(key, pattern));
-        return isTrialDue(this.verdicts.get(pattern) ?? [], own, this.options.clock.nowMs());
+    isTrialDue(signature: RequestSignature): boolean {
+        const matching = this.records.filter(({ key }) => matches(key, signature));
+        return isTrialDue(this.quarantines.get(signature) ?? [], matching, this.options.clock.nowMs());
     }
 
-    /** Whether an upstream has ended under a request that was not answered since. */
+    /** Whether an upstream crashed while processing a request that has not succeeded since. */
     isSuspect(key: RequestKey): boolean {
-        this.forgetOld();
+        this.removeExpired();
         return this.suspects.has(key);
     }
 
     /**
-     * Takes in runs, this instance's or others'.
+     * Merges records of this instance or of peers.
      *
-     * @param runs - The runs.
-     * @param withheld - What whoever told of the runs withholds.
-     * @returns Whether anything was new.
+     * @param records - The records.
+     * @param quarantined - What the sender of the records quarantines.
+     * @returns Whether any record was new.
      */
-    merge(runs: readonly CrashRecord[], withheld: readonly RequestSignature[] = []): boolean {
-        this.forgetOld();
-        const news = runs.filter(run => this.put(run));
-        const agreed = withheld.filter(pattern =>
-            !this.agreed.has(pattern) && this.runs.some(({ key }) => matches(key, pattern))
+    merge(records: readonly CrashRecord[], quarantined: readonly RequestSignature[] = []): boolean {
+        this.removeExpired();
+        const added = records.filter(record => this.store(record));
+        const newlyAgreed = quarantined.filter(signature =>
+            !this.agreedSignatures.has(signature) && this.records.some(({ key }) => matches(key, signature))
         );
-        if (news.length > 0 || agreed.length > 0) {
-            this.agreed = new Set([...this.agreed, ...agreed]);
-            this.keepWithinBound();
-            this.judge();
+        if (added.length > 0 || newlyAgreed.length > 0) {
+            this.agreedSignatures = new Set([...this.agreedSignatures, ...newlyAgreed]);
+            this.evictSurplus();
+            this.detectQuarantines();
         }
-        return news.length > 0;
+        return added.length > 0;
     }
 
     /**
-     * Notes that an upstream answered a request, as it would not if it ended under it.
+     * Records that a request received a response, and so does not crash every upstream.
      *
-     * @returns Whether that was new of any run.
+     * @returns Whether that changed any record.
      */
     recordSuccess(key: RequestKey): boolean {
-        this.answered.note(key);
+        this.succeededKeys.record(key);
         const path = pathPartOf(key);
         if (!this.suspectPaths.has(path)) {
             return false;
         }
-        const alike = this.runs.filter(run => pathPartOf(run.key) === path);
-        return this.merge(alike.map(run => ({
-            ...run,
-            hasSucceeded: run.hasSucceeded || run.key === key,
-            succeededMasks: run.succeededMasks | agreeingSets(run.key, key),
+        const samePath = this.records.filter(record => pathPartOf(record.key) === path);
+        return this.merge(samePath.map(record => ({
+            ...record,
+            hasSucceeded: record.hasSucceeded || record.key === key,
+            succeededMasks: record.succeededMasks | commonMasks(record.key, key),
         })));
     }
 
     /**
-     * The runs to tell another instance: what is new, and what it lacks to withhold the same requests.
+     * Returns the records to send to a peer: recent changes, and the evidence for quarantines that the peer lacks.
      *
-     * @param withheld - What it withholds.
-     * @param isBrief - Whether to leave out what is only new.
+     * @param quarantined - What the peer quarantines.
+     * @param isDelta - Whether to omit recent changes.
      */
-    recentEntries(withheld: readonly RequestSignature[], isBrief: boolean): readonly CrashRecord[] {
+    recentEntries(quarantined: readonly RequestSignature[], isDelta: boolean): readonly CrashRecord[] {
         const nowMs = this.options.clock.nowMs();
-        const settling = this.missingQuarantines(withheld).flatMap(pattern => this.verdicts.get(pattern) ?? []);
-        const isNew = ({ learnedAtMs }: Entry): boolean => nowMs - learnedAtMs < passOnMs;
-        const news = isBrief ? [] : [...this.entries.values()].filter(isNew).map(({ run }) => run).reverse();
-        return [...new Set([...settling, ...news])].slice(0, maximumTold);
+        const evidence = this.missingQuarantines(quarantined).flatMap(signature => this.quarantines.get(signature) ?? []);
+        const isNew = ({ changedAtMs }: StoredRecord): boolean => nowMs - changedAtMs < gossipMs;
+        const added = isDelta ? [] : [...this.entries.values()].filter(isNew).map(({ record }) => record).reverse();
+        return [...new Set([...evidence, ...added])].slice(0, maximumRecordsSent);
     }
 
-    /** What is withheld here, and not by another instance that withholds what is given. */
-    missingQuarantines(withheld: readonly RequestSignature[]): readonly RequestSignature[] {
-        return this.quarantined.filter(pattern => !withheld.includes(pattern));
+    /** Returns the quarantines of this instance that a peer lacks. */
+    missingQuarantines(quarantined: readonly RequestSignature[]): readonly RequestSignature[] {
+        return this.quarantined.filter(signature => !quarantined.includes(signature));
     }
 
-    private get runs(): readonly CrashRecord[] {
-        return [...this.entries.values()].map(({ run }) => run);
+    private get records(): readonly CrashRecord[] {
+        return [...this.entries.values()].map(({ record }) => record);
     }
 
-    private put(run: CrashRecord): boolean {
-        const known = this.entries.get(run.id);
-        const ageMs = this.options.clock.nowMs() - run.endedAtMs;
-        if (known === undefined && ageMs > withholdMs - forgottenMarginMs) {
+    private store(record: CrashRecord): boolean {
+        const stored = this.entries.get(record.id);
+        const ageMs = this.options.clock.nowMs() - record.endedAtMs;
+        if (stored === undefined && ageMs > quarantineMs - expiryMarginMs) {
             return false;
         }
-        // What is answered later is noted in the runs that are known: only a new one is compared with all that was answered.
-        const before = known?.run ?? { ...run, succeededMasks: run.succeededMasks | this.answered.agreeingWith(run.key) };
-        const kept = {
-            ...before,
-            hasSucceeded: before.hasSucceeded || run.hasSucceeded,
-            succeededMasks: before.succeededMasks | run.succeededMasks,
+        // Later successes are merged into stored records, so only a new record is compared with all successes.
+        const previous = stored?.record
+            ?? { ...record, succeededMasks: record.succeededMasks | this.succeededKeys.matchingMasks(record.key) };
+        const merged = {
+            ...previous,
+            hasSucceeded: previous.hasSucceeded || record.hasSucceeded,
+            succeededMasks: previous.succeededMasks | record.succeededMasks,
         };
-        if (known !== undefined && kept.hasSucceeded === before.hasSucceeded && kept.succeededMasks === before.succeededMasks) {
+        if (
+            stored !== undefined && merged.hasSucceeded === previous.hasSucceeded
+            && merged.succeededMasks === previous.succeededMasks
+        ) {
             return false;
         }
-        this.entries.delete(run.id);
-        this.entries.set(run.id, { run: kept, learnedAtMs: this.options.clock.nowMs() });
+        this.entries.delete(record.id);
+        this.entries.set(record.id, { record: merged, changedAtMs: this.options.clock.nowMs() });
         return true;
     }
 
-    /** Drops the oldest runs that settled nothing. */
-    private keepWithinBound(): void {
-        const surplus = this.entries.size - maximumRuns;
+    /** Evicts the oldest records that are no evidence. */
+    private evictSurplus(): void {
+        const surplus = this.entries.size - maximumRecords;
         if (surplus <= 0) {
             return;
         }
-        const order = this.runs
-            .map(({ id, key, endedAtUnixMs }) => ({ id, isSettling: this.isSettling(key), endedAtUnixMs }))
-            .sort((a, b) => Number(a.isSettling) - Number(b.isSettling) || a.endedAtUnixMs - b.endedAtUnixMs);
+        const order = this.records
+            .map(({ id, key, endedAtUnixMs }) => ({ id, isEvidence: this.isEvidence(key), endedAtUnixMs }))
+            .sort((a, b) => Number(a.isEvidence) - Number(b.isEvidence) || a.endedAtUnixMs - b.endedAtUnixMs);
         order.slice(0, surplus).forEach(({ id }) => this.entries.delete(id));
     }
 
-    private judge(): void {
-        const before = this.verdicts;
-        const { runs } = this;
-        this.verdicts = detectPoisonRequests(runs, this.agreed);
-        this.agreed = new Set(
-            [...this.agreed, ...this.verdicts.keys()].filter(pattern => runs.some(({ key }) => matches(key, pattern))),
+    private detectQuarantines(): void {
+        const previous = this.quarantines;
+        const { records } = this;
+        this.quarantines = detectPoisonRequests(records, this.agreedSignatures);
+        this.agreedSignatures = new Set(
+            [...this.agreedSignatures, ...this.quarantines.keys()].filter(signature =>
+                records.some(({ key }) => matches(key, signature))
+            ),
         );
-        this.suspects = new Set(runs.filter(run => !run.hasSucceeded).map(run => run.key));
-        this.suspectPaths = new Set(runs.map(run => pathPartOf(run.key)));
-        this.staleAtMs = Math.min(...runs.map(run => this.forgetAtMs(run)));
-        this.verdicts.forEach((settling, pattern) =>
-            before.has(pattern) ? undefined : this.options.onQuarantined?.(pattern, settling)
+        this.suspects = new Set(records.filter(record => !record.hasSucceeded).map(record => record.key));
+        this.suspectPaths = new Set(records.map(record => pathPartOf(record.key)));
+        this.nextExpiryAtMs = Math.min(...records.map(record => this.expiresAtMs(record)));
+        this.quarantines.forEach((evidence, signature) =>
+            previous.has(signature) ? undefined : this.options.onQuarantined?.(signature, evidence)
         );
-        before.forEach((_, pattern) => this.verdicts.has(pattern) ? undefined : this.options.onReleased?.(pattern));
+        previous.forEach((_, signature) => this.quarantines.has(signature) ? undefined : this.options.onReleased?.(signature));
     }
 
-    private forgetAtMs({ key, endedAtMs }: CrashRecord): number {
-        return endedAtMs + (this.isSettling(key) ? withholdMs : suspectMs);
+    private expiresAtMs({ key, endedAtMs }: CrashRecord): number {
+        return endedAtMs + (this.isEvidence(key) ? quarantineMs : suspectRetentionMs);
     }
 
-    private isSettling(key: RequestKey): boolean {
-        return [...this.verdicts.keys()].some(pattern => matches(key, pattern));
+    private isEvidence(key: RequestKey): boolean {
+        return [...this.quarantines.keys()].some(signature => matches(key, signature));
     }
 
-    private forgetOld(): void {
+    private removeExpired(): void {
         const nowMs = this.options.clock.nowMs();
-        if (nowMs < this.staleAtMs) {
+        if (nowMs < this.nextExpiryAtMs) {
             return;
         }
-        this.runs.filter(run => this.forgetAtMs(run) <= nowMs).forEach(({ id }) => this.entries.delete(id));
-        this.judge();
+        this.records.filter(record => this.expiresAtMs(record) <= nowMs).forEach(({ id }) => this.entries.delete(id));
+        this.detectQuarantines();
     }
 }
--- a/packages/decision/src/crash-record.ts
+++ b/packages/decision/src/crash-record.ts
@@ -1,33 +1,32 @@
 /**
- * One run of a request that ended together with the upstream that ran it.
+ * A request that was lost when its upstream crashed.
  *
  * @packageDocumentation
  */
 
 import type { RequestKey } from "@harrierhitch/core";
 
-/** A run during which its upstream ended, as any instance saw it. */
+/** A request that was in flight when its upstream crashed, as any instance recorded it. */
 export interface CrashRecord {
-    /** Names the run in the whole fleet: the request's id and the number of its attempt. */
+    /** Identifies the attempt in the fleet: the request id and the number of the attempt. */
     readonly id: string;
-    /** What was asked. */
+    /** Key of the request. */
     readonly key: RequestKey;
     readonly upstream: string;
-    /** When the upstream ended, on this instance's clock, the time on the way here left out: what it is forgotten by. */
+    /** When the upstream crashed, on this instance's clock, without network delay; the record expires by it. */
     readonly endedAtMs: number;
     /**
-     * The same by the time of day of the instance that saw it, in milliseconds since the Unix epoch: what it is judged by.
-     * Every instance then judges alike: by the time at which they heard of them, up to 14 of 19 instances took runs that followed
-     * each other within 50 ms for ones that overlapped (a network with ways of up to 40 ms, seeds 1 to 8).
+     * The same by the wall clock of the instance that recorded it, in milliseconds since the Unix epoch. Detection uses this
+     * time, so that all instances reach the same result.
      */
     readonly endedAtUnixMs: number;
-    /** How long the request had been there, in milliseconds. */
+    /** How long the request had been in flight, in milliseconds. */
     readonly ranMs: number;
     /**
-     * In what an answered request agrees with this one, as far as any instance remembers: bit `n` stands for the set of
-     * traits `n` of `request-traits.ts`.
+     * The attribute masks in which a request that succeeded equals this one: bit `n` stands for the mask `n` of
+     * `request-attributes.ts`.
      */
     readonly succeededMasks: number;
-    /** Whether an upstream has answered the same request since, which proves that it does not end whoever runs it. */
+    /** Whether the same request has succeeded since, which proves that it does not crash every upstream. */
     readonly hasSucceeded: boolean;
 }
--- a/packages/decision/src/decide.ts
+++ b/packages/decision/src/decide.ts
@@ -1,5 +1,5 @@
 /**
- * The decision: which upstream a request goes to, or that it waits or is refused.
+ * The decision on a request: which upstream it is sent to, or that it waits or is refused.
  *
  * @packageDocumentation
  */
@@ -13,34 +13,33 @@
 import type { Decision, Exclusion, PolicyFailure } from "./decision.js";
 import { earliestAvailableMs, isLimited, jitteredRetryAfterMs, queueWaitMs } from "./upstream-backoff.js";
 
-/** What a decision needs of a policy. */
+/** The part of a service policy that decisions use. */
 export type DecisionPolicy =
     & Pick<ServicePolicy, "policy" | "chooser" | "refuseRetryAfterMs">
     & Partial<Pick<ServicePolicy, "refuseRetryAfterPercent">>;
 
-/** Most by which a caller's return is spread to either side, as a share of the time until there is room for it. */
-const returnSpread = 0.25;
+/** Largest deviation of a caller's retry time to either side, as a share of it. */
+const retryJitter = 0.25;
 
-/** Time after a caller was turned away because of limits for which turns are scarce, in milliseconds. */
+/** Time after a refusal because of rate limits during which permits count as scarce, in milliseconds. */
 const scarceMs = 1000;
 
-/** When a caller should come back after a refusal for lack of upstreams. */
+/** Retry time of a caller that was refused for lack of upstreams, in milliseconds. */
 const noUpstreamRetryAfterMs = 1000;
 
 /**
  * Decides on one attempt of a request.
  *
- * The result depends on the arguments alone, so that a recorded decision can be
- * replayed. When a clause of the policy fails, the decision goes on without the
- * policy: nothing is refused or held by it, and the least busy of two random
- * candidates is taken.
+ * The result depends on the arguments only, so that a recorded decision can be replayed. If a clause of the policy fails, the
+ * decision ignores the policy: it neither refuses nor holds the request by a clause, and selects the less loaded of two random
+ * candidates.
  *
  * @param policy - The policy of the request's service.
- * @param input - What is believed.
+ * @param input - The facts that the decision depends on.
  */
 export const decide = (policy: DecisionPolicy, input: DecisionInput): Decision => {
     try {
-        return decideBy(policy, input);
+        return decideByPolicy(policy, input);
     }
     catch (thrown) {
         if (thrown instanceof PolicyRunError) {
@@ -50,19 +49,19 @@
     }
 };
 
-const decideBy = (servicePolicy: DecisionPolicy, input: DecisionInput): Decision => {
+const decideByPolicy = (servicePolicy: DecisionPolicy, input: DecisionInput): Decision => {
     const { policy, chooser } = servicePolicy;
     const { request, service } = input;
     if (input.upstreams.every(({ state }) => state === "draining")) {
-        // Waiting brings nothing: all are leaving, or their availability zones are out of service.
-        return withoutCandidates(input.upstreams.map(exclusionOf), undefined);
+        // Waiting is useless: all upstreams are draining, or their availability zones are out of service.
+        return decideWithoutCandidates(input.upstreams.map(exclusionOf), undefined);
     }
     const waitMs = earliestAvailableMs(input.upstreams);
-    if (waitMs === undefined && isLeftToOthers(input)) {
-        return turnedAway(input);
+    if (waitMs === undefined && mustLeavePermit(input)) {
+        return refuseByLimits(input);
     }
     if (waitMs !== undefined) {
-        return isLimited(input.upstreams) ? underLimits(input, waitMs) : duringRest(input, waitMs);
+        return isLimited(input.upstreams) ? decideUnderLimits(input, waitMs) : decideDuringBackoff(input, waitMs);
     }
     const reason = policy.refuse(request, service);
     if (reason !== undefined) {
@@ -72,7 +71,7 @@
     if (policy.hold(request, service)) {
         return { action: "hold", cause: "policy", exclusions: [], scores: [], policyFailure: undefined };
     }
-    const exclusions = withoutTried(
+    const exclusions = excludeTried(
         input,
         input.upstreams.map(upstream =>
             exclusionOf(upstream) ?? (policy.filter(request, service, upstream) ? undefined : "filtered")
@@ -80,12 +79,12 @@
     );
     const candidates = input.upstreams.filter((_, index) => exclusions[index] === undefined);
     if (candidates.length === 0) {
-        return withoutCandidates(exclusions, undefined);
+        return decideWithoutCandidates(exclusions, undefined);
     }
-    return chooseAmong(chooser, input, exclusions, candidates, rankBy(servicePolicy, input), undefined);
+    return selectAmong(chooser, input, exclusions, candidates, rankBy(servicePolicy, input), undefined);
 };
 
-/** When a caller that was refused should come back, in milliseconds. */
+/** Returns when a caller that was refused should retry, in milliseconds. */
 export const retryAfterOf = (
     { refuseRetryAfterMs, refuseRetryAfterPercent = 0 }: DecisionPolicy,
     request: Pick<RequestFacts, "targetMs">,
@@ -96,11 +95,11 @@
     policy.source.clauses.rank === undefined ? undefined : upstream => policy.rank(request, service, upstream) ?? 0;
 
 const decideWithoutPolicy = (input: DecisionInput, failure: PolicyFailure): Decision => {
-    const exclusions = withoutTried(input, input.upstreams.map(exclusionOf));
+    const exclusions = excludeTried(input, input.upstreams.map(exclusionOf));
     const candidates = input.upstreams.filter((_, index) => exclusions[index] === undefined);
     return candidates.length === 0
-        ? withoutCandidates(exclusions, failure)
-        : chooseAmong("two-choices", input, exclusions, candidates, undefined, failure);
+        ? decideWithoutCandidates(exclusions, failure)
+        : selectAmong("two-choices", input, exclusions, candidates, undefined, failure);
 };
 
 const exclusionOf = (upstream: UpstreamFacts): Exclusion | undefined => {
@@ -116,19 +115,19 @@
     return upstream.inFlight >= upstream.limit ? "at-limit" : undefined;
 };
 
-/** Leaves out the upstreams that the request has tried, unless only they are left. */
-const withoutTried = (
+/** Excludes the upstreams that the request has tried, unless no others are available. */
+const excludeTried = (
     input: DecisionInput,
     exclusions: readonly (Exclusion | undefined)[],
 ): readonly (Exclusion | undefined)[] => {
     const isTried = (index: number): boolean => input.tried.includes(input.upstreams[index]?.id ?? "");
-    const untriedLeft = exclusions.some((exclusion, index) => exclusion === undefined && !isTried(index));
-    return untriedLeft
+    const hasUntried = exclusions.some((exclusion, index) => exclusion === undefined && !isTried(index));
+    return hasUntried
         ? exclusions.map((exclusion, index) => exclusion ?? (isTried(index) ? "tried" : undefined))
         : exclusions;
 };
 
-const withoutCandidates = (
+const decideWithoutCandidates = (
     exclusions: readonly (Exclusion | undefined)[],
     policyFailure: PolicyFailure | undefined,
 ): Decision => {
@@ -140,50 +139,53 @@
     return { action: "refuse", cause: "no-upstream", reason, retryAfterMs, exclusions, scores: [], policyFailure };
 };
 
-/** While all upstreams rest, a request waits where that ends in time, and else is told at once when to come back. */
-const duringRest = ({ request, upstreams, draws }: DecisionInput, restMs: number): Decision => {
+/** While all upstreams back off, a request waits if the backoff ends in time, and is refused otherwise. */
+const decideDuringBackoff = ({ request, upstreams, draws }: DecisionInput, backoffMs: number): Decision => {
     const decision = { exclusions: upstreams.map(exclusionOf), scores: [], policyFailure: undefined };
-    if (request.holdLeftMs >= restMs) {
+    if (request.holdLeftMs >= backoffMs) {
         return { ...decision, action: "hold", cause: "resting" };
     }
     const reason = "all upstreams of the service have asked for a rest";
     const [draw = 0] = draws;
-    return { ...decision, action: "refuse", cause: "no-upstream", reason, retryAfterMs: jitteredRetryAfterMs(restMs, draw) };
+    return { ...decision, action: "refuse", cause: "no-upstream", reason, retryAfterMs: jitteredRetryAfterMs(backoffMs, draw) };
 };
 
 /**
- * Whether a request whose target has passed has to leave the next turn at an upstream to others, who can still be in time: while all
- * upstreams name limits, and such callers are turned away.
+ * Whether a request whose target time has passed must leave the next permit to requests that can still be in time: while all
+ * upstreams announce rate limits and such requests are refused.
  */
-const isLeftToOthers = ({ request, service, upstreams }: DecisionInput): boolean => {
-    const staying = upstreams.filter(({ state }) => state !== "draining");
+const mustLeavePermit = ({ request, service, upstreams }: DecisionInput): boolean => {
+    const remaining = upstreams.filter(({ state }) => state !== "draining");
     return request.targetMs > 0 && request.targetLeftMs < 0
         && service.turnedAwayMs >= 0 && service.turnedAwayMs < scarceMs
-        && staying.every(({ takesPerSecond }) => takesPerSecond >= 0);
+        && remaining.every(({ takesPerSecond }) => takesPerSecond >= 0);
 };
 
 /**
- * While all upstreams name limits that leave nothing to this instance now, a request waits where its turn comes in time, and else is
- * turned away at once.
+ * While the rate limits of all upstreams permit nothing now, a request waits if its permit comes in time, and is refused
+ * otherwise.
  */
-const underLimits = (input: DecisionInput, waitMs: number): Decision => {
+const decideUnderLimits = (input: DecisionInput, waitMs: number): Decision => {
     const { request, upstreams } = input;
     const exclusions = upstreams.map(exclusionOf);
     return request.holdLeftMs >= queueWaitMs(waitMs, request.ahead, upstreams)
         ? { action: "hold", cause: "limited", exclusions, scores: [], policyFailure: undefined }
-        : turnedAway(input);
+        : refuseByLimits(input);
 };
 
-/** Tells a caller when there is room for one more, a little to either side: instances that turn callers away do so alike. */
-const turnedAway = ({ service, upstreams, draws }: DecisionInput): Decision => {
+/**
+ * Refuses a request because of rate limits. The retry time is jittered, because other instances refuse callers at the same
+ * time.
+ */
+const refuseByLimits = ({ service, upstreams, draws }: DecisionInput): Decision => {
     const reason = "all upstreams of the service name how much they take, and that is used up";
     const [draw = 0] = draws;
-    const retryAfterMs = service.returnInMs * (1 + returnSpread * (2 * draw - 1));
+    const retryAfterMs = service.returnInMs * (1 + retryJitter * (2 * draw - 1));
     const exclusions = upstreams.map(exclusionOf);
     return { action: "refuse", cause: "limited", reason, retryAfterMs, exclusions, scores: [], policyFailure: undefined };
 };
 
-const chooseAmong = (
+const selectAmong = (
     chooserName: keyof typeof choosers,
     input: DecisionInput,
     exclusions: readonly (Exclusion | undefined)[],
@@ -191,13 +193,13 @@
     rank: ChooserInput["rank"],
     policyFailure: PolicyFailure | undefined,
 ): Decision => {
-    const { draws, sequence: turn } = input;
-    const choice = choosers[chooserName].select({ candidates, rank, draws, sequence: turn });
+    const { draws, sequence } = input;
+    const selection = choosers[chooserName].select({ candidates, rank, draws, sequence });
     let candidate = 0;
-    const scores = exclusions.map(exclusion => exclusion === undefined ? choice.scores[candidate++] : undefined);
+    const scores = exclusions.map(exclusion => exclusion === undefined ? selection.scores[candidate++] : undefined);
     return {
         action: "choose",
-        upstream: upstreamId(candidates[choice.index]?.id ?? ""),
+        upstream: upstreamId(candidates[selection.index]?.id ?? ""),
         chooser: chooserName,
         exclusions,
         scores,
--- a/packages/decision/src/decision-input.ts
+++ b/packages/decision/src/decision-input.ts
@@ -1,12 +1,12 @@
 /**
- * Everything that one decision depends on.
+ * The input of a decision.
  *
  * @packageDocumentation
  */
 
 import type { RequestFacts, ServiceFacts, UpstreamFacts } from "@harrierhitch/policy";
 
-/** The input of a decision; recorded whole, so that the decision can be replayed. */
+/** Everything that a decision depends on; recorded completely, so that the decision can be replayed. */
 export interface DecisionInput {
     readonly request: RequestFacts;
     readonly service: ServiceFacts;
@@ -16,6 +16,6 @@
     readonly tried: readonly string[];
     /** Random numbers for the chooser, each at least 0 and below 1. */
     readonly draws: readonly number[];
-    /** Running number of the service's decisions, for taking turns. */
+    /** Sequence number of the decision within its service, for round-robin. */
     readonly sequence: number;
 }
--- a/packages/decision/src/decision.ts
+++ b/packages/decision/src/decision.ts
@@ -7,25 +7,25 @@
 import type { ChooserName } from "@harrierhitch/configuration";
 import type { UpstreamId } from "@harrierhitch/core";
 
-/** Why a candidate was not considered. */
+/** Why an upstream was not a candidate. */
 export type Exclusion = "draining" | "ejected" | "resting" | "limited" | "at-limit" | "tried" | "filtered";
 
-/** A policy clause that failed while deciding, and what was done instead. */
+/** A policy clause that failed during the decision. */
 export interface PolicyFailure {
     readonly clause: string;
     readonly detail: string;
 }
 
 interface DecisionBase {
-    /** Why each upstream was left out, in the input's order; `undefined` for a candidate. */
+    /** Why each upstream was excluded, in the input's order; `undefined` for a candidate. */
     readonly exclusions: readonly (Exclusion | undefined)[];
-    /** Scores that the chooser compared, in the input's order, lower being better. */
+    /** Scores that the chooser compared, in the input's order; lower is better. */
     readonly scores: readonly (number | undefined)[];
-    /** Set when a clause failed; the decision then followed the safe default. */
+    /** Set when a clause failed; the decision then ignored the policy. */
     readonly policyFailure: PolicyFailure | undefined;
 }
 
-/** The request goes to an upstream. */
+/** The request is sent to an upstream. */
 export interface ChooseDecision extends DecisionBase {
     readonly action: "choose";
     readonly upstream: UpstreamId;
@@ -35,7 +35,10 @@
 /** The request waits. */
 export interface HoldDecision extends DecisionBase {
     readonly action: "hold";
-    /** Whether the policy, the limits here, or a rest or a limit of all upstreams that lets it through in time hold it back. */
+    /**
+     * Whether the policy, the concurrency limits of this instance, or a backoff or rate limits of all upstreams that end in
+     * time make it wait.
+     */
     readonly cause: "policy" | "at-limit" | "resting" | "limited";
 }
 
@@ -45,7 +48,7 @@
     readonly cause: "policy" | "no-upstream" | "limited";
     /** Reason for the caller. */
     readonly reason: string;
-    /** When coming back makes sense, in milliseconds. */
+    /** Time after which the caller should retry, in milliseconds. */
     readonly retryAfterMs: number;
 }
 
--- a/packages/decision/src/incarnation-map.ts
+++ b/packages/decision/src/incarnation-map.ts
@@ -1,119 +1,124 @@
 /**
- * What is remembered of one start of each upstream, kept apart from what is listed.
+ * Values for one incarnation of each upstream, stored separately from the directory.
  *
- * Beliefs end with an upstream's entry; a word that an upstream gave does not. An entry that lapses and comes back, or cannot be
- * read for a while, names the same start, and what that one said still binds.
+ * Estimates are removed together with an upstream's directory entry; notices that the upstream sent about itself are not. They
+ * still apply when the entry lapses and returns with the same incarnation.
  *
  * @packageDocumentation
  */
 
 import type { Clock, UpstreamId } from "@harrierhitch/core";
 
-/** A start of an upstream, as far as whoever tells of it names it. */
+/** An incarnation of an upstream, as far as the sender of the information identifies it. */
 export interface UpstreamIncarnation {
     readonly id: UpstreamId;
     readonly address?: string;
     readonly port?: number;
-    /** When it began, in milliseconds since the Unix epoch; 0 or absent where that is not known. */
+    /** When it began, in milliseconds since the Unix epoch; 0 or absent if unknown. */
     readonly startedAtMs?: number | undefined;
 }
 
-interface Kept<Value> {
-    /** The start that is meant; 0 where that is not known. */
+interface StoredValue<Value> {
+    /** The incarnation; 0 if unknown. */
     readonly startedAtMs: number;
-    /** Address and port of a start that is not known otherwise. */
+    /** Address and port, which identify an incarnation whose start is unknown. */
     readonly endpoint: string | undefined;
-    /** When the upstream itself last said something, in milliseconds since the Unix epoch; 0 where only others told. */
+    /** When the upstream itself last sent a notice, in milliseconds since the Unix epoch; 0 if only others reported it. */
     readonly saidAtUnixMs: number;
-    readonly notedAtMs: number;
+    readonly recordedAtMs: number;
     readonly value: Value;
 }
 
-/** Options of {@link ByStart}. */
-export interface ByStartOptions<Value> {
+/** Options of {@link IncarnationMap}. */
+export interface IncarnationMapOptions<Value> {
     readonly clock: Clock;
-    /** Until when a value binds a start that is not named at least, on the clock of this instance. */
+    /** Until when a value applies to an unidentified incarnation at least, on the clock of this instance. */
     readonly lastsUntilMs: (value: Value) => number;
 }
 
-/** Most upstreams of which something is kept, some 100 bytes each: a third of all upstreams at the size to design for. */
-const maximumKept = 4096;
+/** Most upstreams for which a value is stored. */
+const maximumEntries = 4096;
 
 /**
- * Time for which a start that is not named counts as the same when its upstream is listed again, in milliseconds: entries
- * that lapsed while the platform was away are back within seconds of its return.
+ * Time for which an incarnation whose start is unknown counts as the same when its upstream is listed again, in milliseconds:
+ * entries that lapsed during an outage of the platform return within seconds of its recovery.
  */
-const unnamedStartMs = 60_000;
+const unidentifiedIncarnationMs = 60_000;
 
-/** Most by which the times of day of two machines are taken to differ, in milliseconds. */
+/** Largest difference between the clocks of two machines that is tolerated, in milliseconds. */
 const clockSkewMs = 1000;
 
-/** Remembers a value for each upstream, which binds until another start of it is known. */
-export class ByStart<Value> {
-    private readonly kept = new Map<UpstreamId, Kept<Value>>();
+/** Stores a value for each upstream, which applies until a later incarnation of it is known. */
+export class IncarnationMap<Value> {
+    private readonly entries = new Map<UpstreamId, StoredValue<Value>>();
 
     /** @param options - The clock, and how long values last. */
-    constructor(private readonly options: ByStartOptions<Value>) {}
+    constructor(private readonly options: IncarnationMapOptions<Value>) {}
 
     /**
-     * Changes what is kept of a start, unless a later one is known that did not say it.
+     * Changes the value of an incarnation, unless a later one is known that did not send the notice.
      *
-     * @param start - The start.
-     * @param saidAtUnixMs - When the upstream said so itself, in milliseconds since the Unix epoch; 0 where others told.
-     * @param next - Makes the value of what was kept of this start before.
+     * @param incarnation - The incarnation.
+     * @param saidAtUnixMs - When the upstream itself sent the notice, in milliseconds since the Unix epoch; 0 if others
+     *   reported it.
+     * @param next - Returns the new value from the one stored for this incarnation.
      */
-    put(start: UpstreamIncarnation, saidAtUnixMs: number, next: (before: Value | undefined) => Value): void {
-        const { startedAtMs = 0 } = start;
-        const known = this.kept.get(start.id);
-        const isOutdated = known !== undefined && startedAtMs > 0 && startedAtMs < known.startedAtMs
-            && !couldSay(known.startedAtMs, saidAtUnixMs);
+    put(incarnation: UpstreamIncarnation, saidAtUnixMs: number, next: (previous: Value | undefined) => Value): void {
+        const { startedAtMs = 0 } = incarnation;
+        const stored = this.entries.get(incarnation.id);
+        const isOutdated = stored !== undefined && startedAtMs > 0 && startedAtMs < stored.startedAtMs
+            && !mayHaveSent(stored.startedAtMs, saidAtUnixMs);
         if (isOutdated) {
             return;
         }
-        // News of a start without a name are taken to be of the one that is known: they must not displace what binds it.
-        const before = startedAtMs === 0 && known !== undefined && known.startedAtMs > 0 ? known : this.binding(start);
-        // Noted last, so that the oldest are dropped first.
-        this.kept.delete(start.id);
-        this.kept.set(start.id, {
-            startedAtMs: Math.max(startedAtMs, before?.startedAtMs ?? 0),
-            endpoint: endpointOf(start) ?? before?.endpoint,
-            saidAtUnixMs: Math.max(saidAtUnixMs, before?.saidAtUnixMs ?? 0),
-            notedAtMs: this.options.clock.nowMs(),
-            value: next(before?.value),
+        // A notice about an unidentified incarnation is applied to the stored one, and must not replace its value.
+        const previous = startedAtMs === 0 && stored !== undefined && stored.startedAtMs > 0
+            ? stored
+            : this.findApplicable(incarnation);
+        // Inserted last, so that the oldest entries are evicted first.
+        this.entries.delete(incarnation.id);
+        this.entries.set(incarnation.id, {
+            startedAtMs: Math.max(startedAtMs, previous?.startedAtMs ?? 0),
+            endpoint: endpointOf(incarnation) ?? previous?.endpoint,
+            saidAtUnixMs: Math.max(saidAtUnixMs, previous?.saidAtUnixMs ?? 0),
+            recordedAtMs: this.options.clock.nowMs(),
+            value: next(previous?.value),
         });
-        [...this.kept.keys()].slice(0, Math.max(0, this.kept.size - maximumKept)).forEach(id => this.kept.delete(id));
+        [...this.entries.keys()].slice(0, Math.max(0, this.entries.size - maximumEntries)).forEach(id => this.entries.delete(id));
     }
 
-    /** Whether nothing is kept. */
+    /** Whether nothing is stored. */
     get isEmpty(): boolean {
-        return this.kept.size === 0;
+        return this.entries.size === 0;
     }
 
-    /** What is kept of an upstream, if it binds this start of it. */
-    find(start: UpstreamIncarnation): Value | undefined {
-        return this.binding(start)?.value;
+    /** Returns the value stored for an upstream, if it applies to this incarnation. */
+    find(incarnation: UpstreamIncarnation): Value | undefined {
+        return this.findApplicable(incarnation)?.value;
     }
 
-    private binding(start: UpstreamIncarnation): Kept<Value> | undefined {
-        const kept = this.kept.get(start.id);
-        return kept !== undefined && this.binds(kept, start) ? kept : undefined;
+    private findApplicable(incarnation: UpstreamIncarnation): StoredValue<Value> | undefined {
+        const stored = this.entries.get(incarnation.id);
+        return stored !== undefined && this.appliesTo(stored, incarnation) ? stored : undefined;
     }
 
-    private binds(kept: Kept<Value>, start: UpstreamIncarnation): boolean {
-        const { startedAtMs = 0 } = start;
+    private appliesTo(stored: StoredValue<Value>, incarnation: UpstreamIncarnation): boolean {
+        const { startedAtMs = 0 } = incarnation;
         if (startedAtMs > 0) {
-            // What an upstream said after a start began was said by that start, whichever was listed then.
-            return startedAtMs <= kept.startedAtMs || couldSay(startedAtMs, kept.saidAtUnixMs);
+            // A notice that the upstream sent after an incarnation began was sent by that incarnation, whichever one was listed
+            // then.
+            return startedAtMs <= stored.startedAtMs || mayHaveSent(startedAtMs, stored.saidAtUnixMs);
         }
-        const endpoint = endpointOf(start);
-        const isElsewhere = endpoint !== undefined && kept.endpoint !== undefined && endpoint !== kept.endpoint;
+        const endpoint = endpointOf(incarnation);
+        const isOtherEndpoint = endpoint !== undefined && stored.endpoint !== undefined && endpoint !== stored.endpoint;
         const { clock, lastsUntilMs } = this.options;
-        return !isElsewhere && clock.nowMs() < Math.max(kept.notedAtMs + unnamedStartMs, lastsUntilMs(kept.value));
+        return !isOtherEndpoint
+            && clock.nowMs() < Math.max(stored.recordedAtMs + unidentifiedIncarnationMs, lastsUntilMs(stored.value));
     }
 }
 
-/** Whether it was this start or a later one that said something at a time of day. */
-const couldSay = (startedAtMs: number, saidAtUnixMs: number): boolean => startedAtMs + clockSkewMs <= saidAtUnixMs;
+/** Whether this incarnation or a later one may have sent a notice at a given time. */
+const mayHaveSent = (startedAtMs: number, saidAtUnixMs: number): boolean => startedAtMs + clockSkewMs <= saidAtUnixMs;
 
 const endpointOf = ({ address, port }: UpstreamIncarnation): string | undefined =>
     address === undefined ? undefined : `${address}:${String(port)}`;
--- a/packages/decision/src/latency-baselines.ts
+++ b/packages/decision/src/latency-baselines.ts
@@ -1,104 +1,106 @@
 /**
- * How long work usually takes for each kind of request.
+ * Baseline latency of each kind of request.
  *
  * @packageDocumentation
  */
 
 import type { Clock } from "@harrierhitch/core";
 
-/** Answers that are remembered for each kind, of each sort. */
-const remembered = 64;
+/** Samples that are stored for each kind and group. */
+const maximumSamples = 64;
 
-/** Answers before which nothing is known. */
-const minimumKnown = 8;
+/** Samples from which there is a baseline. */
+const minimumSamples = 8;
 
-/** Expected time, in times of usual work, up to which an answer shows usual work as it is. */
-const undisturbedTime = 1.5;
+/** Expected response time, as a multiple of the baseline, up to which a sample counts as undisturbed. */
+const undisturbedExpectedTime = 1.5;
 
-/** Time for which such an answer is remembered: what work takes changes with releases, not with load. */
-const undisturbedMs = 60_000;
-
-/** Time for which any other is remembered: an instance that refuses gets few, and must not go on by those of a busy moment. */
-const disturbedMs = 8000;
+/** Time for which an undisturbed sample is stored, in milliseconds: the baseline changes with deployments, not with load. */
+const undisturbedRetentionMs = 60_000;
 
 /**
- * The answer, in order of time, that shows work without queueing or slow
- * neighbours, also under overload, when most answers do not.
+ * Time for which a disturbed sample is stored, in milliseconds: an instance that refuses requests gets few samples, and must
+ * not use those of a past overload for long.
  */
-const undisturbedShare = 0.1;
+const disturbedRetentionMs = 8000;
+
+/** Quantile that shows the latency without queueing or noisy neighbours, also under overload, when most samples are disturbed. */
+const lowQuantile = 0.1;
 
-/** The answer, in order of time, that most are no later than. */
-const mostShare = 0.9;
+/** Quantile for the slow end. */
+const highQuantile = 0.9;
 
-/** What usual work takes against that answer: work scatters by about a third by itself. */
-const scatter = 1.4;
+/** Ratio of the baseline to the low quantile: latencies vary by about a third without any disturbance. */
+const baselineRatio = 1.4;
 
-interface Answer {
-    readonly usualMs: number;
+interface LatencySample {
+    readonly baselineMs: number;
     readonly atMs: number;
 }
 
-interface Answers {
-    /** Of upstreams that were idle and as fast as usual when they were chosen. */
-    readonly undisturbed: Answer[];
-    readonly disturbed: Answer[];
+interface LatencySamples {
+    /** From upstreams that were idle and of normal speed when they were selected. */
+    readonly undisturbed: LatencySample[];
+    readonly disturbed: LatencySample[];
 }
 
-/** What the remembered answers come to. */
+/** The quantiles of the stored samples. */
 interface Summary {
-    readonly usualMs: number | undefined;
-    readonly mostMs: number | undefined;
-    /** When it was worked out. */
+    readonly baselineMs: number | undefined;
+    readonly p90Ms: number | undefined;
+    /** When it was computed. */
     readonly atMs: number;
 }
 
-/** Time for which a summary holds without new answers, in milliseconds: only forgetting changes it. */
+/** Time for which a summary is valid without new samples, in milliseconds. */
 const summaryMs = 500;
 
-/** Learns the usual time of work from the answers to one instance's own requests. */
+/** Estimates the baseline latency of each kind from the responses to this instance's requests. */
 export class LatencyBaselines {
-    private readonly recent = new Map<string, Answers>();
+    private readonly recent = new Map<string, LatencySamples>();
     private readonly summaries = new Map<string, Summary>();
 
     /** @param clock - The clock. */
     constructor(private readonly clock: Clock) {}
 
     /**
-     * Notes the time from sending a request to its answer.
+     * Records the time from sending a request to its response.
      *
      * @param kind - The kind of the request.
      * @param latencyMs - The time.
-     * @param expectedTime - What was expected where it was sent, in times of usual work: an answer from a slow or
-     *   busy upstream tells of usual work only by that.
+     * @param expectedTime - The response time that was expected of its upstream, as a multiple of the baseline. The latency
+     *   from a slow or busy upstream is divided by it.
      */
     record(kind: string, latencyMs: number, expectedTime = 1): void {
-        const answers = this.recent.get(kind) ?? { undisturbed: [], disturbed: [] };
-        const isUndisturbed = expectedTime <= undisturbedTime;
-        const sort = isUndisturbed ? answers.undisturbed : answers.disturbed;
-        sort.push({ usualMs: isUndisturbed ? latencyMs : latencyMs / expectedTime, atMs: this.clock.nowMs() });
-        if (sort.length > remembered) {
-            sort.shift();
+        const samples = this.recent.get(kind) ?? { undisturbed: [], disturbed: [] };
+        const isUndisturbed = expectedTime <= undisturbedExpectedTime;
+        const group = isUndisturbed ? samples.undisturbed : samples.disturbed;
+        group.push({ baselineMs: isUndisturbed ? latencyMs : latencyMs / expectedTime, atMs: this.clock.nowMs() });
+        if (group.length > maximumSamples) {
+            group.shift();
         }
-        this.recent.set(kind, answers);
+        this.recent.set(kind, samples);
         this.summaries.delete(kind);
     }
 
-    /** Milliseconds that work usually takes; `undefined` while not enough is known. */
+    /** Returns the baseline in milliseconds; `undefined` without enough samples. */
     baselineOf(kind: string): number | undefined {
-        return this.summaryOf(kind).usualMs;
+        return this.summaryOf(kind).baselineMs;
     }
 
-    /** Milliseconds within which nine in ten are answered where nothing is in the way; `undefined` while not enough is known. */
+    /**
+     * Returns the latency in milliseconds that nine of ten undisturbed requests stay below; `undefined` without enough samples.
+     */
     p90Of(kind: string): number | undefined {
-        return this.summaryOf(kind).mostMs;
+        return this.summaryOf(kind).p90Ms;
     }
 
-    /** Decisions ask far more often than answers come, so what they ask for is worked out once in between. */
+    /** Returns the cached summary: decisions read it far more often than responses change it. */
     private summaryOf(kind: string): Summary {
-        const known = this.summaries.get(kind);
+        const cached = this.summaries.get(kind);
         const nowMs = this.clock.nowMs();
-        if (known !== undefined && nowMs - known.atMs < summaryMs) {
-            return known;
+        if (cached !== undefined && nowMs - cached.atMs < summaryMs) {
+            return cached;
         }
         const summary = { ...this.summarize(kind), atMs: nowMs };
         this.summaries.set(kind, summary);
@@ -107,20 +109,21 @@
 
     private summarize(kind: string): Omit<Summary, "atMs"> {
         const { undisturbed = [], disturbed = [] } = this.recent.get(kind) ?? {};
-        const times = this.usualOf(undisturbed, undisturbedMs) ?? this.usualOf(disturbed, disturbedMs);
-        if (times === undefined) {
-            return { usualMs: undefined, mostMs: undefined };
+        const sorted = this.sortedSamples(undisturbed, undisturbedRetentionMs)
+            ?? this.sortedSamples(disturbed, disturbedRetentionMs);
+        if (sorted === undefined) {
+            return { baselineMs: undefined, p90Ms: undefined };
         }
-        const usualMs = at(times, undisturbedShare) * scatter;
-        // Disturbed answers say little about the slow end: most of them are slow because of the disturbance.
-        return { usualMs, mostMs: Math.min(at(times, mostShare), usualMs * scatter) };
+        const baselineMs = quantile(sorted, lowQuantile) * baselineRatio;
+        // The slow end of disturbed samples shows mostly the disturbance, so it is limited.
+        return { baselineMs, p90Ms: Math.min(quantile(sorted, highQuantile), baselineMs * baselineRatio) };
     }
 
-    private usualOf(answers: readonly Answer[], rememberedMs: number): readonly number[] | undefined {
-        const oldestMs = this.clock.nowMs() - rememberedMs;
-        const times = answers.filter(({ atMs }) => atMs >= oldestMs).map(({ usualMs }) => usualMs);
-        return times.length < minimumKnown ? undefined : times.sort((a, b) => a - b);
+    private sortedSamples(samples: readonly LatencySample[], retentionMs: number): readonly number[] | undefined {
+        const oldestMs = this.clock.nowMs() - retentionMs;
+        const sorted = samples.filter(({ atMs }) => atMs >= oldestMs).map(({ baselineMs }) => baselineMs);
+        return sorted.length < minimumSamples ? undefined : sorted.sort((a, b) => a - b);
     }
 }
 
-const at = (sorted: readonly number[], share: number): number => sorted[Math.floor(sorted.length * share)] ?? 0;
+const quantile = (sorted: readonly number[], share: number): number => sorted[Math.floor(sorted.length * share)] ?? 0;
--- a/packages/decision/src/limit-admission.ts
+++ b/packages/decision/src/limit-admission.ts
@@ -1,49 +1,49 @@
 /**
- * Which requests of this instance may go to upstreams that name how many they take, so that all instances together stay below that.
+ * Admission of requests to upstreams that announce a rate limit, so that all instances together stay below it.
  *
  * @packageDocumentation
  */
 
 import type { Clock, RandomSource, UpstreamId } from "@harrierhitch/core";
 import type { UpstreamIncarnation } from "./incarnation-map.js";
-import { LimitTurns } from "./permit-schedule.js";
+import { PermitSchedule } from "./permit-schedule.js";
 import type { StoredLimit, UpstreamLimits } from "./upstream-limits.js";
 
-/** This instance's part in sending to one upstream. */
+/** This instance's part in the rate limit of one upstream. */
 export interface LimitShare {
-    /** Whether it is one of those that share the upstream's limit. */
+    /** Whether it is one of the participants, which send within the limit. */
     readonly isParticipant: boolean;
-    /** How many share it. */
+    /** Number of participants. */
     readonly participants: number;
-    /** How many instances there may be. */
+    /** Number of instances in the fleet. */
     readonly members: number;
 }
 
-/** The share of an instance that belongs to no fleet. */
+/** The share of an instance that runs alone. */
 export const fullShare: LimitShare = { isParticipant: true, participants: 1, members: 1 };
 
-/** How fast this instance may send to an upstream, and when it may next. */
+/** How fast this instance may send to an upstream, and when it may send next. */
 export interface LimitPace extends LimitShare {
-    /** What the upstream takes from all instances together, in requests a second. */
+    /** The limit for all instances together, in requests per second. */
     readonly perSecond: number;
     /** Time between two requests of this instance, in milliseconds. */
     readonly gapMs: number;
-    /** Milliseconds until this instance may send one more; 0 when it may now. */
+    /** Milliseconds until this instance may send one more request; 0 if it may now. */
     readonly waitMs: number;
 }
 
 /** Options of {@link LimitAdmission}. */
 export interface LimitAdmissionOptions {
     readonly clock: Clock;
-    /** Keeps the first requests of those that share from coming at one moment. */
+    /** Sets a random phase, so that the participants do not send at the same moment. */
     readonly random: RandomSource;
-    /** What upstreams said last. */
+    /** The announced rate limits. */
     readonly limits: UpstreamLimits;
     /**
-     * This instance's share.
+     * Returns this instance's share.
      *
      * @param upstream - The upstream.
-     * @param wanted - How many instances should share it.
+     * @param wanted - How many participants the limit should have.
      */
     readonly shareOf: (upstream: UpstreamId, wanted: number) => LimitShare;
 }
@@ -51,96 +51,102 @@
 const secondMs = 1000;
 
 /**
- * Sharers for each request a second, and one besides: each then has one turn in a period of a little more than two seconds, of which no
- * four seconds touch more than three. So the sum in any four seconds stays below one and a half times what the upstream takes, and
- * three, whenever requests come up.
+ * Participants for each request per second; one more is added. Each then has one permit in a period of a little more than two
+ * seconds. Four seconds touch at most three periods, so the sum in any four seconds stays below one and a half times the limit
+ * plus three requests.
  */
-const sharersPerRequest = 2;
+const participantsPerRequest = 2;
 
-/** Fewest sharers: one that is gone must not leave the upstream to nobody. */
-const fewestSharers = 2;
+/** Fewest participants, so that one that left does not leave the upstream without any. */
+const minimumParticipants = 2;
 
-/** Time for whose requests an instance saves up while it has none to send, in milliseconds; one request at least. */
-const savedMs = 500;
+/** Time for which an instance accumulates permits while it has nothing to send, in milliseconds; at least one permit. */
+const burstMs = 500;
 
 /**
- * Requests a second, from all instances together, by which the end of a limit is found out at an upstream that takes fewer, or
- * none at all.
+ * Lowest rate, from all instances together, in requests per second: without requests nobody would notice the end of a lower
+ * limit.
  */
-const leastPerSecond = 0.1;
+const minimumPerSecond = 0.1;
 
-/** Time without any news of a limit after which an instance that is no sharer tries for itself, in milliseconds. */
-const patienceMs = 30_000;
+/** Time without a notice of a limit after which an instance that is no participant sends probing requests, in milliseconds. */
+const orphanTimeoutMs = 30_000;
 
-/** Share of a limit that all instances take together which try for themselves. */
-const carefulShare = 0.1;
+/** Share of a limit that all non-participants use together for probing requests. */
+const orphanShare = 0.1;
 
-/** Most upstreams whose turns are kept: as many as limits. */
-const maximumTurns = 4096;
+/** Most upstreams whose schedules are stored. */
+const maximumSchedules = 4096;
 
-/** How many instances should share an upstream. */
-const sharersFor = (perSecond: number): number => Math.max(fewestSharers, Math.floor(perSecond * sharersPerRequest) + 1);
+/** Returns how many participants a limit should have. */
+const participantsFor = (perSecond: number): number =>
+    Math.max(minimumParticipants, Math.floor(perSecond * participantsPerRequest) + 1);
 
-/** What one turn depends on. */
-interface Shared {
+/** The inputs of one permit. */
+interface PermitInput {
     readonly share: LimitShare;
     readonly wanted: number;
     readonly perSecond: number;
     readonly limit: StoredLimit;
 }
 
-/** Admits requests to upstreams that name how many they take. */
+/** Admits requests to upstreams that announce a rate limit. */
 export class LimitAdmission {
-    private readonly turns = new Map<UpstreamId, LimitTurns>();
+    private readonly schedules = new Map<UpstreamId, PermitSchedule>();
 
-    /** @param options - Limits and who shares them. */
+    /** @param options - The limits and this instance's share of them. */
     constructor(private readonly options: LimitAdmissionOptions) {}
 
-    /** Whether no upstream has ever named a limit. */
+    /** Whether no upstream has announced a limit. */
     get hasNoLimits(): boolean {
         return this.options.limits.isEmpty;
     }
 
-    /** How fast this instance may send to a start of an upstream; `undefined` where that names no limit. */
-    paceOf(start: UpstreamIncarnation): LimitPace | undefined {
-        const limit = this.options.limits.find(start);
+    /** Returns the pace for an incarnation of an upstream; `undefined` if it announced no limit. */
+    paceOf(incarnation: UpstreamIncarnation): LimitPace | undefined {
+        const limit = this.options.limits.find(incarnation);
         if (limit === undefined) {
-            this.turns.delete(start.id);
+            this.schedules.delete(incarnation.id);
             return undefined;
         }
-        const perSecond = Math.max(limit.perSecond, leastPerSecond);
-        const wanted = sharersFor(perSecond);
-        const share = this.options.shareOf(start.id, wanted);
-        const turns = this.turns.get(start.id) ?? this.open(start.id);
-        return { ...share, perSecond: limit.perSecond, ...this.nextTurn(turns, { share, wanted, perSecond, limit }) };
+        const perSecond = Math.max(limit.perSecond, minimumPerSecond);
+        const wanted = participantsFor(perSecond);
+        const share = this.options.shareOf(incarnation.id, wanted);
+        const schedule = this.schedules.get(incarnation.id) ?? this.createSchedule(incarnation.id);
+        return { ...share, perSecond: limit.perSecond, ...this.nextPermit(schedule, { share, wanted, perSecond, limit }) };
     }
 
-    /** Notes that a request goes to a start; tells whether that is bound by a limit. */
-    recordSent(start: UpstreamIncarnation): boolean {
-        const isLimited = this.paceOf(start) !== undefined;
+    /** Records that a request is sent to an incarnation; returns whether a limit applies to it. */
+    recordSent(incarnation: UpstreamIncarnation): boolean {
+        const isLimited = this.paceOf(incarnation) !== undefined;
         if (isLimited) {
-            this.turns.get(start.id)?.noteSent();
+            this.schedules.get(incarnation.id)?.recordSent();
         }
         return isLimited;
     }
 
-    private nextTurn(turns: LimitTurns, { share, wanted, perSecond, limit }: Shared): Pick<LimitPace, "gapMs" | "waitMs"> {
+    private nextPermit(
+        schedule: PermitSchedule,
+        { share, wanted, perSecond, limit }: PermitInput,
+    ): Pick<LimitPace, "gapMs" | "waitMs"> {
         const nowMs = this.options.clock.nowMs();
         if (!share.isParticipant) {
-            const gapMs = share.members / (perSecond * carefulShare) * secondMs;
-            return { gapMs, waitMs: turns.savedWaitMs(nowMs, gapMs, 1, limit.receivedAtMs + patienceMs) };
+            const gapMs = share.members / (perSecond * orphanShare) * secondMs;
+            return { gapMs, waitMs: schedule.bucketWaitMs(nowMs, gapMs, 1, limit.receivedAtMs + orphanTimeoutMs) };
         }
         const gapMs = share.participants / perSecond * secondMs;
         return share.participants === wanted
-            ? { gapMs, waitMs: turns.periodWaitMs(nowMs, gapMs) }
-            : { gapMs, waitMs: turns.savedWaitMs(nowMs, gapMs, Math.max(1, savedMs / gapMs)) };
+            ? { gapMs, waitMs: schedule.periodWaitMs(nowMs, gapMs) }
+            : { gapMs, waitMs: schedule.bucketWaitMs(nowMs, gapMs, Math.max(1, burstMs / gapMs)) };
     }
 
-    private open(id: UpstreamId): LimitTurns {
+    private createSchedule(id: UpstreamId): PermitSchedule {
         const { clock, random } = this.options;
-        const turns = new LimitTurns(clock.nowMs(), random.next());
-        [...this.turns.keys()].slice(0, Math.max(0, this.turns.size + 1 - maximumTurns)).forEach(old => this.turns.delete(old));
-        this.turns.set(id, turns);
-        return turns;
+        const schedule = new PermitSchedule(clock.nowMs(), random.next());
+        [...this.schedules.keys()].slice(0, Math.max(0, this.schedules.size + 1 - maximumSchedules)).forEach(old =>
+            this.schedules.delete(old)
+        );
+        this.schedules.set(id, schedule);
+        return schedule;
     }
 }
--- a/packages/decision/src/load-prediction.ts
+++ b/packages/decision/src/load-prediction.ts
@@ -1,62 +1,62 @@
 /**
- * What is expected of an upstream now, from its last report and from what is usual in its service.
+ * Prediction of an upstream's current load from its last report and the averages of its service.
  *
  * @packageDocumentation
  */
 
 import type { UpstreamFacts } from "@harrierhitch/policy";
-import { bestInFlight, crowdingOf } from "./contention.js";
-import { keptShare, residenceMsOf, type ServiceLoadModel, slownessLastsMs } from "./service-load-model.js";
+import { contentionOf, optimalConcurrency } from "./contention.js";
+import { decayFactor, residenceMsOf, type ServiceLoadModel, slowdownDecayMs } from "./service-load-model.js";
 
-/** What the expectation rests on. */
+/** The inputs of a prediction. */
 export type LoadSample = Pick<
     UpstreamFacts,
     "inFlight" | "reportedInFlight" | "reportAgeMs" | "sentSinceReport" | "slowness" | "slots"
 >;
 
-/** What is expected. */
+/** The predicted load. */
 export type LoadPrediction = Pick<UpstreamFacts, "expectedInFlight" | "expectedSlowness" | "crowding" | "bestInFlight">;
 
 /**
- * Works out what is expected of an upstream now.
+ * Predicts the load of an upstream.
  *
- * A report fades towards what is usual in the service: its slowness as fast as slownesses were seen to change, its
- * requests in flight as fast as requests end there. A service that was full a moment ago is so taken for full until
- * something newer is known; fading towards an idle one instead, it was filled far beyond its slots by requests that
- * had only waited until it was forgotten.
+ * A report decays towards the averages of the service: its slowdown at the rate at which slowdowns were observed to change, its
+ * requests in flight at the rate at which requests end. In a busy service an upstream without a recent report is therefore
+ * predicted to be busy, not idle.
  *
- * @param known - The last report, and this instance's own requests there.
- * @param dynamics - What is usual in the service.
- * @param isTrial - Whether to take fuller upstreams for as good as others where too little is known of them.
+ * @param sample - The last report, and this instance's own requests there.
+ * @param model - The averages of the service.
+ * @param isExploration - Whether to assume no contention where it is unknown.
  */
-export const predictLoad = (known: LoadSample, dynamics: ServiceLoadModel, isTrial = false): LoadPrediction => {
-    const factors = isTrial ? dynamics.crowding.optimistic : dynamics.crowding.pessimistic;
-    const expectedInFlight = Math.max(known.inFlight, expectedLoad(known, dynamics));
+export const predictLoad = (sample: LoadSample, model: ServiceLoadModel, isExploration = false): LoadPrediction => {
+    const factors = isExploration ? model.contention.optimistic : model.contention.pessimistic;
+    const expectedInFlight = Math.max(sample.inFlight, predictInFlight(sample, model));
     return {
         expectedInFlight,
-        expectedSlowness: expectedSlowness(known, dynamics),
-        crowding: crowdingOf(factors, expectedInFlight, Math.max(1, known.slots)),
-        bestInFlight: bestInFlight(factors, known.slots),
+        expectedSlowness: predictSlowdown(sample, model),
+        crowding: contentionOf(factors, expectedInFlight, Math.max(1, sample.slots)),
+        bestInFlight: optimalConcurrency(factors, sample.slots),
     };
 };
 
-const expectedLoad = (
+const predictInFlight = (
     { reportAgeMs, reportedInFlight, sentSinceReport, slots }: LoadSample,
-    dynamics: ServiceLoadModel,
+    model: ServiceLoadModel,
 ): number => {
-    const usual = dynamics.meanLoad * slots;
+    const average = model.meanLoad * slots;
     return reportAgeMs < 0
-        ? usual
-        : usual + (reportedInFlight + sentSinceReport - usual) * keptShare(reportAgeMs, residenceMsOf(dynamics));
+        ? average
+        : average + (reportedInFlight + sentSinceReport - average) * decayFactor(reportAgeMs, residenceMsOf(model));
 };
 
-/** The slowness against what is usual: where all upstreams are slow, waiting for a faster one is no use. */
-const expectedSlowness = ({ reportAgeMs, slowness }: LoadSample, dynamics: ServiceLoadModel): number => {
-    const { meanSlowness, usualSlowness } = dynamics;
-    if (meanSlowness === undefined) {
-        // Upstreams that report nothing would otherwise all look slow for good, and their requests wait for news that never come.
+/** Relative to the service's baseline: if all upstreams are slow, waiting for a faster one is useless. */
+const predictSlowdown = ({ reportAgeMs, slowness }: LoadSample, model: ServiceLoadModel): number => {
+    const { meanSlowdown, baselineSlowdown } = model;
+    if (meanSlowdown === undefined) {
+        // Without any report in the service, no upstream is assumed to be slow; otherwise requests would wait for reports that
+        // never arrive.
         return 1;
     }
-    const kept = reportAgeMs < 0 ? 0 : keptShare(reportAgeMs, slownessLastsMs(dynamics));
-    return (meanSlowness + (slowness - meanSlowness) * kept) / usualSlowness;
+    const weight = reportAgeMs < 0 ? 0 : decayFactor(reportAgeMs, slowdownDecayMs(model));
+    return (meanSlowdown + (slowness - meanSlowdown) * weight) / baselineSlowdown;
 };
--- a/packages/decision/src/observation.ts
+++ b/packages/decision/src/observation.ts
@@ -1,48 +1,48 @@
 /**
- * Observations: the only way in which a belief about an upstream changes.
+ * Observations: the events by which the estimate of an upstream changes.
  *
  * @packageDocumentation
  */
 
 /** What an upstream may report besides its requests in flight. */
 export interface LoadFigures {
-    /** Requests that it serves at the same time. */
+    /** Requests that it processes at the same time. */
     readonly slots?: number | undefined;
-    /** Factor by which work takes longer than usual there; 1 is as usual. */
+    /** Factor by which work takes longer there than normal; 1 is normal. */
     readonly slowness?: number | undefined;
 }
 
-/** The upstream is leaving, by its own word, the list's or another instance's. */
+/** The upstream is draining, according to itself, the directory or another instance. */
 export interface DrainObservation {
     readonly type: "draining";
     readonly atMs: number;
-    /** When the upstream said so itself, in milliseconds since the Unix epoch; absent where others told. */
+    /** When the upstream itself sent the notice, in milliseconds since the Unix epoch; absent if others reported it. */
     readonly saidAtUnixMs?: number | undefined;
 }
 
-/** The upstream wants nothing from this instance for a while, by its own word. */
+/** The upstream asked to receive no requests of this instance for some time. */
 export interface BackoffObservation {
     readonly type: "resting";
     readonly atMs: number;
     readonly backoffMs: number;
-    /** When the upstream said so, in milliseconds since the Unix epoch. */
+    /** When the upstream sent the notice, in milliseconds since the Unix epoch. */
     readonly saidAtUnixMs: number;
 }
 
-/** The upstream said how much it takes from all instances together, or nothing of it. */
+/** The upstream announced a rate limit for all instances together, or responded without one. */
 export interface LimitObservation {
     readonly type: "limited";
     readonly atMs: number;
-    /** Requests a second; `undefined` where its answer names no limit. */
+    /** Requests per second; `undefined` if the response announces no limit. */
     readonly perSecond: number | undefined;
-    /** When the request was sent that was answered so. */
+    /** When the request of that response was sent. */
     readonly sentAtMs: number;
 }
 
-/** What an upstream said of itself that outlives its entry. */
+/** A notice of an upstream about itself, which outlives its directory entry. */
 export type NoticeObservation = DrainObservation | BackoffObservation | LimitObservation;
 
-/** One thing that was learned about an upstream, at `atMs` on the instance's clock. */
+/** One observation of an upstream, at `atMs` on the instance's clock. */
 export type Observation =
     | {
         readonly type: "started";
@@ -51,11 +51,11 @@
     | LoadFigures & {
         readonly type: "answered";
         readonly atMs: number;
-        /** Time from sending to the head of the answer. */
+        /** Time from sending the request to the head of the response. */
         readonly latencyMs: number;
-        /** Whether the answer counts as a failure of the upstream (5xx). */
+        /** Whether the response counts as a failure of the upstream (5xx). */
         readonly failed: boolean;
-        /** Requests in flight that the answer reported; `undefined` without a report. */
+        /** Requests in flight according to the response; `undefined` without a report. */
         readonly reportedInFlight: number | undefined;
     }
     | {
@@ -68,20 +68,20 @@
     }
     | NoticeObservation
     | {
-        /** The upstream was seen to come back after leaving: a new start. */
+        /** The upstream returned after draining: a new incarnation. */
         readonly type: "returned";
         readonly atMs: number;
-        /** Time for which it will answer slowly; the usual time when it is not known. */
+        /** Time for which it will respond slowly; the default if unknown. */
         readonly coldMs?: number | undefined;
     }
     | {
-        /** It answers slowly for a while, by its own word or the list's, although it has not left. */
+        /** It will respond slowly for some time, according to itself or the directory, although it did not restart. */
         readonly type: "cooled";
         readonly atMs: number;
         readonly coldMs: number;
     }
     | LoadFigures & {
-        /** Its load as another instance or a probe reported it. */
+        /** Its load, as another instance or a probe reported it. */
         readonly type: "reported";
         readonly atMs: number;
         readonly inFlight: number;
--- a/packages/decision/src/permit-schedule.ts
+++ b/packages/decision/src/permit-schedule.ts
@@ -1,71 +1,71 @@
 /**
- * When one instance may send to an upstream that names how many requests it takes.
+ * When one instance may send to an upstream that announces a rate limit.
  *
  * @packageDocumentation
  */
 
-/** Sums of fractions of requests are a little more or less than whole ones. */
+/** Tolerance for sums of fractions of requests. */
 const roundingError = 1e-9;
 
 /**
- * The turns of one instance at one upstream. Where many share a limit, each has one turn in each of its periods, early or late in it as
- * a request comes up; where few share a large one, turns are saved up for a moment.
+ * The permits of one instance at one upstream. Many participants each get one permit per period, usable at any time in it; few
+ * participants of a large limit use a token bucket.
  */
-export class LimitTurns {
-    /** Requests that may be sent at once, with a fraction that grows towards the next. */
-    private saved: number;
-    private savedAtMs: number;
+export class PermitSchedule {
+    /** Requests that may be sent at once; the fraction grows until one more is permitted. */
+    private tokens: number;
+    private refilledAtMs: number;
     private periodEndsAtMs = -Infinity;
-    private isUsed = true;
+    private isPermitUsed = true;
 
     /**
      * @param nowMs - The time now.
-     * @param draw - A random number of at least 0 and below 1, which keeps instances from walking in step.
+     * @param phase - A random number of at least 0 and below 1, which keeps instances from sending at the same moments.
      */
-    constructor(nowMs: number, private readonly draw: number) {
-        this.saved = draw;
-        this.savedAtMs = nowMs;
+    constructor(nowMs: number, private readonly phase: number) {
+        this.tokens = phase;
+        this.refilledAtMs = nowMs;
     }
 
     /**
-     * Time until the next turn, with one in each period.
+     * Returns the time until the next permit, with one permit per period.
      *
      * @param nowMs - The time now.
      * @param periodMs - Length of a period.
-     * @returns Milliseconds; 0 when it is now.
+     * @returns Milliseconds; 0 if there is a permit.
      */
     periodWaitMs(nowMs: number, periodMs: number): number {
         if (this.periodEndsAtMs === -Infinity) {
-            this.periodEndsAtMs = nowMs + this.draw * periodMs;
+            this.periodEndsAtMs = nowMs + this.phase * periodMs;
         }
-        // A limit that has risen makes the period that runs shorter; one that has fallen only the next ones longer.
+        // A higher limit shortens the current period; a lower one lengthens only the following periods.
         this.periodEndsAtMs = Math.min(this.periodEndsAtMs, nowMs + periodMs);
         if (nowMs >= this.periodEndsAtMs) {
             this.periodEndsAtMs += (Math.floor((nowMs - this.periodEndsAtMs) / periodMs) + 1) * periodMs;
-            this.isUsed = false;
+            this.isPermitUsed = false;
         }
-        return this.isUsed ? this.periodEndsAtMs - nowMs : 0;
+        return this.isPermitUsed ? this.periodEndsAtMs - nowMs : 0;
     }
 
     /**
-     * Time until the next turn, with turns that are saved up.
+     * Returns the time until the next permit of the token bucket.
      *
      * @param nowMs - The time now.
-     * @param gapMs - Time in which one is gained.
-     * @param most - Most that are saved up.
-     * @param fromMs - When they begin to be gained.
-     * @returns Milliseconds; 0 when one is there.
+     * @param gapMs - Time in which one token is added.
+     * @param capacity - Most tokens.
+     * @param fromMs - When tokens begin to be added.
+     * @returns Milliseconds; 0 if there is a token.
      */
-    savedWaitMs(nowMs: number, gapMs: number, most: number, fromMs = -Infinity): number {
-        const gainedMs = Math.max(0, nowMs - Math.max(this.savedAtMs, fromMs));
-        this.saved = Math.min(most, this.saved + gainedMs / gapMs);
-        this.savedAtMs = nowMs;
-        return this.saved >= 1 - roundingError ? 0 : (1 - this.saved) * gapMs + Math.max(0, fromMs - nowMs);
+    bucketWaitMs(nowMs: number, intervalMs: number, capacity: number, fromMs = -Infinity): number {
+        const refillMs = Math.max(0, nowMs - Math.max(this.refilledAtMs, fromMs));
+        this.tokens = Math.min(capacity, this.tokens + refillMs / intervalMs);
+        this.refilledAtMs = nowMs;
+        return this.tokens >= 1 - roundingError ? 0 : (1 - this.tokens) * intervalMs + Math.max(0, fromMs - nowMs);
     }
 
-    /** Notes that a turn was taken. */
-    noteSent(): void {
-        this.saved -= 1;
-        this.isUsed = true;
+    /** Records that a permit was used. */
+    recordSent(): void {
+        this.tokens -= 1;
+        this.isPermitUsed = true;
     }
 }
--- a/packages/decision/src/probe-targets.ts
+++ b/packages/decision/src/probe-targets.ts
@@ -1,5 +1,5 @@
 /**
- * Which candidates are worth asking for their load before a choice.
+ * Which candidates to probe for their load before a selection, and how much headroom candidates have.
  *
  * @packageDocumentation
  */
@@ -8,25 +8,28 @@
 import type { DecisionInput } from "./decision-input.js";
 import { expectedResponseTime, selectionCost } from "./expected-time-chooser.js";
 
-/** Share of a random draw in the order, in times of usual work, so that instances do not all ask the same upstreams. */
+/**
+ * Weight of a random number in the order, as a multiple of the baseline, so that instances do not all probe the same upstreams.
+ */
 const drawWeight = 0.3;
 
-/** Expected time, in times of usual work, at which a candidate is as good as can be hoped for: no queue, and as fast as usual. */
-const goodTime = 1.3;
+/** Cost up to which a candidate is considered ideal, as a multiple of the baseline: no queue, and normal speed. */
+const idealCost = 1.3;
 
-/** Age of a report below which it still tells how things are. */
-const freshMs = 20;
+/** Age of a report up to which it counts as current, in milliseconds. */
+const currentReportMs = 20;
 
-/** Whether what is known of an upstream is fresh, and so good that asking others would gain nothing. */
+/** Whether an upstream has a current report and such a low cost that probing others is useless. */
 export const isKnownGood = (upstream: UpstreamFacts): boolean =>
-    isEligible(upstream) && upstream.reportAgeMs >= 0 && upstream.reportAgeMs < freshMs && selectionCost(upstream) < goodTime;
+    isEligible(upstream) && upstream.reportAgeMs >= 0 && upstream.reportAgeMs < currentReportMs
+    && selectionCost(upstream) < idealCost;
 
 /**
- * Picks the candidates that are likely to be chosen.
+ * Selects the candidates that are most likely to be selected.
  *
- * @param input - What is believed.
+ * @param input - The upstreams, and those that the request has tried.
  * @param count - Most candidates.
- * @param draw - Gives random numbers of at least 0 and below 1.
+ * @param draw - Returns random numbers of at least 0 and below 1.
  * @returns Their ids, the likeliest first.
  */
 export const selectProbeTargets = (
@@ -42,64 +45,64 @@
         .map(({ id }) => id);
 
 /**
- * Time until the best of some upstreams is expected to answer, in times of usual work.
+ * Returns the shortest expected response time of some upstreams, as a multiple of the baseline.
  *
- * @param upstreams - What is believed of them.
- * @param tried - Ids of those that are left out, because the request has tried them.
- * @returns The time; -1 when none may be chosen.
+ * @param upstreams - The upstreams.
+ * @param tried - Ids of upstreams that are excluded, because the request has tried them.
+ * @returns The time; -1 if none is eligible.
  */
 export const minExpectedTime = (upstreams: readonly UpstreamFacts[], tried: readonly string[]): number => {
     const candidates = upstreams.filter(upstream => isEligible(upstream) && !tried.includes(upstream.id));
     return candidates.length === 0 ? -1 : Math.min(...candidates.map(expectedResponseTime));
 };
 
-/** Room at an upstream. */
+/** Headroom of an upstream. */
 export interface Headroom {
-    /** Requests that it is expected to take before it answers fewer in a given time, with a fraction. */
+    /** Requests that it can accept before its throughput decreases, with a fraction. */
     readonly room: number;
-    /** The same as a share of the requests in flight at which it answers most. */
+    /** The same as a share of its optimal concurrency. */
     readonly freeShare: number;
 }
 
 /**
- * Room at the best of some upstreams.
+ * Returns the headroom of the upstream with the shortest expected response time.
  *
- * @param upstreams - What is believed of them.
- * @param tried - Ids of those that are left out, because the request has tried them, unless only they are left.
- * @returns The room; none when none may be chosen.
+ * @param upstreams - The upstreams.
+ * @param tried - Ids of upstreams that are excluded, because the request has tried them, unless no others are eligible.
+ * @returns The headroom; zero if none is eligible.
  */
 export const headroomAtBest = (upstreams: readonly UpstreamFacts[], tried: readonly string[]): Headroom => {
     const [best] = [...candidatesOf(upstreams, tried)].sort((a, b) => expectedResponseTime(a) - expectedResponseTime(b));
     if (best === undefined) {
         return { room: 0, freeShare: 0 };
     }
-    const room = best.bestInFlight - best.expectedInFlight;
-    return { room, freeShare: room / Math.max(1, best.bestInFlight) };
+    const headroom = best.bestInFlight - best.expectedInFlight;
+    return { room: headroom, freeShare: headroom / Math.max(1, best.bestInFlight) };
 };
 
 /**
- * Time until one of some upstreams is expected to have room, if nobody else sends anything.
+ * Returns the time until one of some upstreams is expected to have headroom, if no more requests are sent.
  *
- * @param upstreams - What is believed of them.
- * @param tried - Ids of those that are left out, because the request has tried them, unless only they are left.
- * @param residenceMs - How long a request stays at an upstream, on average.
- * @returns Milliseconds; -1 when none may be chosen.
+ * @param upstreams - The upstreams.
+ * @param tried - Ids of upstreams that are excluded, because the request has tried them, unless no others are eligible.
+ * @param residenceMs - Average time for which a request is in flight, in milliseconds.
+ * @returns Milliseconds; -1 if none is eligible.
  */
 export const headroomInMs = (upstreams: readonly UpstreamFacts[], tried: readonly string[], residenceMs: number): number => {
     const waits = candidatesOf(upstreams, tried).map(({ bestInFlight, expectedInFlight }) => {
-        const over = Math.max(0, expectedInFlight + 1 - bestInFlight);
-        return over * residenceMs / Math.max(1, expectedInFlight);
+        const excess = Math.max(0, expectedInFlight + 1 - bestInFlight);
+        return excess * residenceMs / Math.max(1, expectedInFlight);
     });
     return waits.length === 0 ? -1 : Math.min(...waits);
 };
 
-/** Upstreams that may be chosen: those that the request has not tried, or all where only tried ones are left. */
+/** Returns the eligible upstreams that the request has not tried, or all eligible ones if it has tried them all. */
 const candidatesOf = (upstreams: readonly UpstreamFacts[], tried: readonly string[]): readonly UpstreamFacts[] => {
     const candidates = upstreams.filter(isEligible);
     const untried = candidates.filter(({ id }) => !tried.includes(id));
     return untried.length > 0 ? untried : candidates;
 };
 
-/** Whether an upstream takes requests now, and has room for one more of this instance. */
+/** Whether an upstream accepts requests now, and this instance is below its concurrency limit there. */
 export const isEligible = (upstream: UpstreamFacts): boolean =>
     upstream.state !== "draining" && upstream.state !== "ejected" && upstream.restMs <= 0 && upstream.inFlight < upstream.limit;
--- a/packages/decision/src/quarantine-trial.ts
+++ b/packages/decision/src/quarantine-trial.ts
@@ -1,5 +1,5 @@
 /**
- * When a withheld request is tried once more.
+ * When a quarantined request may be sent again as a trial.
  *
  * @packageDocumentation
  */
@@ -7,26 +7,25 @@
 import type { CrashRecord } from "./crash-record.js";
 
 /**
- * Time after which a withheld request is tried, in milliseconds: an outage that took its upstreams is over by then, and it is when
- * callers are told to come back. Without a trial an innocent that lost three upstreams in a row was withheld for an hour.
+ * Time after which a quarantined request is tried, in milliseconds: by then an outage that caused the crashes is usually over.
  */
-const trialAfterMs = 30_000;
+const trialDelayMs = 30_000;
 
-/** A run that ended later than this share of that time after those that settled it was a trial, not a repeat under way. */
-const triedShare = 0.9;
+/** A crash later than this share of that time after the evidence came from a trial, not from a retry in flight. */
+const trialShare = 0.9;
 
 /**
- * Tells whether what is withheld may be tried: some time has passed since an upstream last ended under it, and no trial has
- * ended one.
+ * Whether a quarantined request may be tried: no upstream has crashed while processing it for some time, and no trial has
+ * failed.
  *
- * @param settling - The runs for which it is withheld, in their order; none where it is not.
- * @param own - All its runs.
+ * @param evidence - The records for which it is quarantined, in their order; empty if it is not.
+ * @param matching - All its records.
  * @param nowMs - The time now.
  */
-export const isTrialDue = (settling: readonly CrashRecord[], own: readonly CrashRecord[], nowMs: number): boolean => {
-    const settledAtMs = settling.at(-1)?.endedAtMs;
-    const lastAtMs = Math.max(...own.map(({ endedAtMs }) => endedAtMs));
-    return settledAtMs !== undefined
-        && lastAtMs - settledAtMs < trialAfterMs * triedShare
-        && nowMs - lastAtMs >= trialAfterMs;
+export const isTrialDue = (evidence: readonly CrashRecord[], matching: readonly CrashRecord[], nowMs: number): boolean => {
+    const evidenceAtMs = evidence.at(-1)?.endedAtMs;
+    const lastAtMs = Math.max(...matching.map(({ endedAtMs }) => endedAtMs));
+    return evidenceAtMs !== undefined
+        && lastAtMs - evidenceAtMs < trialDelayMs * trialShare
+        && nowMs - lastAtMs >= trialDelayMs;
 };
--- a/packages/decision/src/record-notice.ts
+++ b/packages/decision/src/record-notice.ts
@@ -1,67 +1,71 @@
 /**
- * Remembering what an upstream said of itself, and which start of it that binds.
+ * Storing notices that upstreams send about themselves, and checking which incarnation an observation applies to.
  *
  * @packageDocumentation
  */
 
 import type { UpstreamIncarnation } from "./incarnation-map.js";
 import type { NoticeObservation, Observation } from "./observation.js";
-import { isOtherStart, type Tracked } from "./tracked-upstream.js";
+import { isOtherIncarnation, type TrackedUpstream } from "./tracked-upstream.js";
 import type { UpstreamLimits } from "./upstream-limits.js";
 import type { UpstreamNotices } from "./upstream-notices.js";
 
-/** Where words of upstreams are remembered. */
-export interface Memory {
+/** Where notices are stored. */
+export interface NoticeStores {
     readonly notices: UpstreamNotices;
     readonly limits: UpstreamLimits;
 }
 
-/** Whether an observation is a word of an upstream on itself. */
-export const isWord = (observation: Observation): observation is NoticeObservation =>
+/** Whether an observation is a notice of an upstream about itself. */
+export const isNotice = (observation: Observation): observation is NoticeObservation =>
     observation.type === "draining" || observation.type === "resting" || observation.type === "limited";
 
 /**
- * Remembers what an upstream said beyond its entry.
+ * Stores a notice, which then outlives the upstream's directory entry.
  *
- * @param memory - Where it is remembered.
- * @param start - The start that is meant, as far as whoever told it names it.
- * @param observation - What was learned.
- * @param tracked - The upstream as it is listed now; `undefined` while it is not.
- * @returns Whether other instances should hear of it at once.
+ * @param stores - Where it is stored.
+ * @param incarnation - The incarnation, as far as the sender identifies it.
+ * @param observation - The notice.
+ * @param tracked - The upstream as it is listed now; `undefined` if it is not.
+ * @returns Whether to send it to other instances at once.
  */
-export const remember = (
-    memory: Memory,
-    start: UpstreamIncarnation,
+export const recordNotice = (
+    stores: NoticeStores,
+    incarnation: UpstreamIncarnation,
     observation: NoticeObservation,
-    tracked: Tracked | undefined,
+    tracked: TrackedUpstream | undefined,
 ): boolean => {
-    const { startedAtMs = 0 } = start;
-    if (tracked === undefined || isOtherStart(tracked.upstream, startedAtMs)) {
-        return note(memory, start, observation);
+    const { startedAtMs = 0 } = incarnation;
+    if (tracked === undefined || isOtherIncarnation(tracked.upstream, startedAtMs)) {
+        return storeNotice(stores, incarnation, observation);
     }
-    const { upstream, belief } = tracked;
-    // News of a start without a name from before this one became known are about an earlier one.
-    return observation.atMs >= belief.createdAtMs
-        && note(memory, { ...upstream, startedAtMs: Math.max(startedAtMs, upstream.startedAtMs ?? 0) }, observation);
+    const { upstream, estimate } = tracked;
+    // A notice about an unidentified incarnation from before this one was added is about an earlier one.
+    return observation.atMs >= estimate.createdAtMs
+        && storeNotice(stores, { ...upstream, startedAtMs: Math.max(startedAtMs, upstream.startedAtMs ?? 0) }, observation);
 };
 
-const note = ({ notices, limits }: Memory, start: UpstreamIncarnation, observation: NoticeObservation): boolean => {
+const storeNotice = (
+    { notices, limits }: NoticeStores,
+    incarnation: UpstreamIncarnation,
+    observation: NoticeObservation,
+): boolean => {
     switch (observation.type) {
         case "draining":
-            notices.recordDraining(start, observation.saidAtUnixMs ?? 0);
+            notices.recordDraining(incarnation, observation.saidAtUnixMs ?? 0);
             return false;
         case "resting":
-            notices.recordBackoff(start, observation.saidAtUnixMs, observation.backoffMs);
+            notices.recordBackoff(incarnation, observation.saidAtUnixMs, observation.backoffMs);
             return false;
         case "limited":
-            return limits.record(start, observation.perSecond, observation.sentAtMs);
+            return limits.record(incarnation, observation.perSecond, observation.sentAtMs);
     }
 };
 
-/** Whether an observation was made of the start that is listed. */
-export const concerns = (
-    { notices }: Memory,
-    { upstream }: Tracked,
+/** Whether an observation applies to the listed incarnation. */
+export const appliesTo = (
+    { notices }: NoticeStores,
+    { upstream }: TrackedUpstream,
     observation: Observation,
     startedAtMs: number,
 ): boolean => {
@@ -71,6 +75,6 @@
         case "resting":
             return notices.remainingBackoffMs(upstream) > 0;
         default:
-            return !isOtherStart(upstream, startedAtMs);
+            return !isOtherIncarnation(upstream, startedAtMs);
     }
 };
--- a/packages/decision/src/retry-budget.ts
+++ b/packages/decision/src/retry-budget.ts
@@ -1,5 +1,5 @@
 /**
- * The budget of retries of one instance.
+ * The retry budget of one instance.
  *
  * @packageDocumentation
  */
@@ -8,58 +8,58 @@
 export interface RetryBudgetOptions {
     /** Retries allowed per request, for example 0.1. */
     readonly ratio: number;
-    /** Most retries that can be saved up. */
+    /** Most retries that can accumulate. */
     readonly maximumBalance?: number;
 }
 
-const defaultMaximumSaved = 10;
+const defaultMaximumBalance = 10;
 
-/** Ten tenths add up to a little less than one. */
+/** Tolerance for sums of fractions: ten tenths add up to a little less than one. */
 const roundingError = 1e-9;
 
 /**
- * Allows retries as a share of requests. The budget is earned by requests, not
- * by time, so that an instance that slept has saved up nothing.
+ * Limits retries to a ratio of requests. Requests, not time, fill the budget, so that an instance that was suspended has
+ * accumulated nothing.
  */
 export class RetryBudget {
-    private saved: number;
-    private maximumSaved: number;
-    private share: number;
+    private balance: number;
+    private maximumBalance: number;
+    private ratio: number;
 
-    /** @param options - Share and bound. */
+    /** @param options - Ratio and bound. */
     constructor(options: RetryBudgetOptions) {
-        this.maximumSaved = options.maximumBalance ?? defaultMaximumSaved;
-        this.share = options.ratio;
-        this.saved = this.maximumSaved;
+        this.maximumBalance = options.maximumBalance ?? defaultMaximumBalance;
+        this.ratio = options.ratio;
+        this.balance = this.maximumBalance;
     }
 
-    /** Changes the share, and the bound on what is saved where one is given, as a new configuration says. */
-    configure(share: number, maximumSaved = this.maximumSaved): void {
-        this.share = share;
-        this.maximumSaved = maximumSaved;
-        this.saved = Math.min(this.saved, maximumSaved);
+    /** Changes the ratio and, if given, the bound. */
+    configure(ratio: number, maximumBalance = this.maximumBalance): void {
+        this.ratio = ratio;
+        this.maximumBalance = maximumBalance;
+        this.balance = Math.min(this.balance, maximumBalance);
     }
 
-    /** Notes one request, which earns its share. */
+    /** Records one request, which adds the ratio to the balance. */
     deposit(): void {
-        this.saved = Math.min(this.maximumSaved, this.saved + this.share);
+        this.balance = Math.min(this.maximumBalance, this.balance + this.ratio);
     }
 
-    /** Whether there is a retry to take. */
+    /** Whether the budget allows a retry. */
     canWithdraw(): boolean {
-        return this.saved >= 1 - roundingError;
+        return this.balance >= 1 - roundingError;
     }
 
     /**
-     * Takes one retry out of the budget.
+     * Withdraws one retry from the budget.
      *
-     * @returns Whether there was one.
+     * @returns Whether the budget allowed it.
      */
     tryWithdraw(): boolean {
         if (!this.canWithdraw()) {
             return false;
         }
-        this.saved -= 1;
+        this.balance -= 1;
         return true;
     }
 }
--- a/packages/decision/src/select-candidates.ts
+++ b/packages/decision/src/select-candidates.ts
@@ -1,41 +1,44 @@
 /**
- * Which upstreams of a service one decision looks at.
+ * Which upstreams of a service one decision evaluates.
  *
  * @packageDocumentation
  */
 
 import type { UpstreamId } from "@harrierhitch/core";
-import { maximumShortlist, shortlist } from "./sample-candidates.js";
-import type { Tracked } from "./tracked-upstream.js";
+import { maximumCandidates, sampleCandidates } from "./sample-candidates.js";
+import type { TrackedUpstream } from "./tracked-upstream.js";
 
-/** What the choice of them depends on. */
-export interface ConsiderOptions {
+/** Options of {@link selectCandidates}. */
+export interface SelectCandidatesOptions {
     readonly nowMs: number;
     /** Availability zone of this instance. */
     readonly availabilityZone: string;
-    /** Whether an upstream may be chosen as things are. */
-    readonly mayBeChosen: (tracked: Tracked) => boolean;
-    /** Gives random numbers of at least 0 and below 1. */
+    /** Whether an upstream may be selected now. */
+    readonly isEligible: (tracked: TrackedUpstream) => boolean;
+    /** Returns random numbers of at least 0 and below 1. */
     readonly draw: () => number;
 }
 
 /**
- * Picks the upstreams that one decision looks at.
+ * Selects the upstreams that one decision evaluates.
  *
  * @param tracked - All upstreams of the service.
- * @param options - What may be chosen, and where this instance is.
- * @returns All where they are few, or few of them may be chosen; else a part of those that may.
+ * @param options - Eligibility, and the location of this instance.
+ * @returns All upstreams if there are few, or if few of them are eligible; otherwise a sample of the eligible ones.
  */
-export const consider = (tracked: readonly Tracked[], options: ConsiderOptions): readonly UpstreamId[] => {
-    const { nowMs, availabilityZone, mayBeChosen, draw } = options;
+export const selectCandidates = (
+    tracked: readonly TrackedUpstream[],
+    options: SelectCandidatesOptions,
+): readonly UpstreamId[] => {
+    const { nowMs, availabilityZone, isEligible, draw } = options;
     const all = tracked.map(({ upstream }) => upstream.id);
-    if (all.length <= maximumShortlist) {
+    if (all.length <= maximumCandidates) {
         return all;
     }
-    const candidates = tracked.filter(mayBeChosen).map(({ upstream, belief }) => ({
+    const candidates = tracked.filter(isEligible).map(({ upstream, estimate }) => ({
         id: upstream.id,
         sameZone: upstream.availabilityZone === availabilityZone,
-        reportAgeMs: nowMs - (belief.reportedAtMs ?? -Infinity),
+        reportAgeMs: nowMs - (estimate.reportedAtMs ?? -Infinity),
     }));
-    return candidates.length < maximumShortlist ? all : shortlist(candidates, draw);
+    return candidates.length < maximumCandidates ? all : sampleCandidates(candidates, draw);
 };
--- a/packages/decision/src/service-load-model.ts
+++ b/packages/decision/src/service-load-model.ts
@@ -1,161 +1,167 @@
 /**
- * What reports and answers of one service teach of how its upstreams behave.
+ * Averages that are learned from the load reports and responses of one service.
  *
  * @packageDocumentation
  */
 
-import { type CrowdingCurve, initialCrowding, noteCrowding } from "./contention.js";
+import { type ContentionCurve, initialContention, recordContention } from "./contention.js";
 
-/** How fast things change at the upstreams of a service; an immutable value, changed by {@link updateFromReport} and {@link updateFromResponse}. */
+/** Averages of a service; immutable. {@link updateFromReport} and {@link updateFromResponse} return the next value. */
 export interface ServiceLoadModel {
-    /** Mean of the reported slowness: what is expected where nothing fresh is known; `undefined` before the first report. */
-    readonly meanSlowness: number | undefined;
-    /** Slowness that a quarter of the reports are below: what counts as usual, where all upstreams have become slow too. */
-    readonly usualSlowness: number;
-    /** Mean of the requests in flight for each slot, as reported. */
+    /** Mean of the reported slowdowns, assumed where there is no recent report; `undefined` before the first report. */
+    readonly meanSlowdown: number | undefined;
+    /**
+     * The lower quartile of the reported slowdowns. Predictions are relative to it, because all upstreams may have become slow.
+     */
+    readonly baselineSlowdown: number;
+    /** Mean of the reported requests in flight per slot. */
     readonly meanLoad: number;
-    /** Mean time from sending a request to its answer; `undefined` before the first answer. */
+    /** Mean time from sending a request to its response; `undefined` before the first response. */
     readonly residenceMs: number | undefined;
-    /** How often the slowness was seen to change, as sums of squares that fade. */
-    readonly change: SlownessChange;
-    /** How much longer work takes as slots fill. */
-    readonly crowding: CrowdingCurve;
+    /** How fast slowdowns were observed to change, as decaying sums of squares. */
+    readonly variation: SlowdownVariation;
+    /** How much longer work takes as slots are used up. */
+    readonly contention: ContentionCurve;
 }
 
-/** Sums over pairs of reports that follow one another at the same upstream. */
-export interface SlownessChange {
+/** Sums over pairs of consecutive reports of the same upstream. */
+export interface SlowdownVariation {
     /** Squared distance from the mean, times the milliseconds between the two. */
     readonly spread: number;
     /** Half of the squared difference of the two: equals the variance once the second no longer depends on the first. */
     readonly difference: number;
 }
 
-/** One report of an upstream, as far as the dynamics depends on it. */
-export interface LoadReading {
+/** One load report of an upstream. */
+export interface ReportedLoad {
     readonly atMs: number;
     readonly inFlight: number;
-    readonly slowness: number;
+    readonly slowdown: number;
     readonly slots: number;
 }
 
-/** One answer that arrived, with what was expected when its request was sent. */
+/** One response, with what was predicted when its request was sent. */
 export interface ResponseSample {
     readonly atMs: number;
     readonly latencyMs: number;
-    /** How long work of this kind usually takes; `undefined` while that is not known. */
+    /** Baseline latency of this kind of request; `undefined` if unknown. */
     readonly baselineMs: number | undefined;
-    /** Share of the slots in use with this request, as expected when it was sent. */
+    /** Share of the slots in use, including this request, as predicted when it was sent. */
     readonly utilization: number;
-    /** Slowness expected when it was sent. */
+    /** Slowdown predicted when it was sent. */
     readonly expectedSlowdown: number;
-    /** Age of the report that the two come from; -1 without one. */
+    /** Age of the report that both predictions are based on; -1 without one. */
     readonly reportAgeMs: number;
 }
 
-/** Share of a new reading in the mean load and residence: the last twenty or so count, so that a rush shows within a second. */
-const readingShare = 0.05;
+/**
+ * Weight of a new sample in the mean load and residence time: the last twenty or so count, so that a burst shows within a
+ * second.
+ */
+const sampleAlpha = 0.05;
 
-/** Share of a new reading in the mean slowness: a hundred count, so that it does not follow single upstreams. */
-const slownessShare = 0.01;
+/** Weight of a new sample in the mean slowdown: about a hundred count, so that it does not follow single upstreams. */
+const slowdownAlpha = 0.01;
 
-/** Mean slowness from the first report on until enough have come: what others report now is good to know, so it is not 1. */
-const priorSlowness = 1.8;
+/** Mean slowdown before the first report. Above 1, so that an upstream with a good report is preferred to one without any. */
+const priorSlowdown = 1.8;
 
-/** Time for which a slowness is taken to last before it was seen to change, in milliseconds. */
-const priorSlownessLastsMs = 150;
+/** Assumed time for which a slowdown lasts before a change was observed, in milliseconds. */
+const priorSlowdownDecayMs = 150;
 
 /** Weight of that prior, as a squared distance from the mean: a few changes outweigh it. */
 const priorSpread = 4;
 
-/** Share of the reports that tell of less than the usual slowness. */
-const usualShare = 0.25;
+/** Share of the reports with a slowdown below the baseline. */
+const baselineQuantile = 0.25;
 
-/** Share by which the usual slowness moves at most with a report: services that become slow as a whole are known in some seconds. */
-const usualStep = 0.05;
+/** Largest relative step of the baseline per report: it follows a service that becomes slow as a whole within seconds. */
+const baselineStep = 0.05;
 
-/** Share of the sums that each pair of reports leaves. */
-const pairKept = 0.998;
+/** Factor by which the sums decay with each pair of reports. */
+const pairDecayFactor = 0.998;
 
-/** Bounds of the learned time, in milliseconds: below, reports would be worth nothing when they arrive; above, none ever fades. */
-const shortestKeptMs = 20;
-const longestKeptMs = 10_000;
+/** Bounds of the learned time, in milliseconds: below, reports would be outdated on arrival; above, they would never decay. */
+const minimumDecayMs = 20;
+const maximumDecayMs = 10_000;
 
-/** Time for which requests are taken to stay before any was answered, in milliseconds: a full upstream is not forgotten before. */
+/** Assumed residence time before the first response, in milliseconds. */
 const priorResidenceMs = 1000;
 
-/** Age of a report up to which the answer to a request shows what the report said, in milliseconds. */
-const freshMs = 20;
+/** Age of a report up to which it is recent enough for the response to show contention, in milliseconds. */
+const currentReportMs = 20;
 
-/** Most requests for each slot that count in the mean: an upstream that sheds may report anything. */
+/** Most requests per slot that count in the mean, because an upstream that sheds may report any number. */
 const maximumLoad = 4;
 
-/** The dynamics of a service of which nothing is known. */
+/** The averages of a service without any report or response. */
 export const initialLoadModel: ServiceLoadModel = {
-    meanSlowness: undefined,
-    usualSlowness: 1,
+    meanSlowdown: undefined,
+    baselineSlowdown: 1,
     meanLoad: 0,
     residenceMs: undefined,
-    change: { spread: priorSpread * priorSlownessLastsMs, difference: priorSpread },
-    crowding: initialCrowding,
+    variation: { spread: priorSpread * priorSlowdownDecayMs, difference: priorSpread },
+    contention: initialContention,
 };
 
-/** Time for which a reported slowness stays true, on average. */
-export const slownessLastsMs = ({ change }: ServiceLoadModel): number =>
-    Math.min(longestKeptMs, Math.max(shortestKeptMs, change.spread / change.difference));
+/** Returns the average time for which a reported slowdown lasts, in milliseconds. */
+export const slowdownDecayMs = ({ variation }: ServiceLoadModel): number =>
+    Math.min(maximumDecayMs, Math.max(minimumDecayMs, variation.spread / variation.difference));
 
-/** Time for which a request stays at an upstream, on average. */
+/** Returns the average time for which a request is in flight, in milliseconds. */
 export const residenceMsOf = ({ residenceMs }: ServiceLoadModel): number => residenceMs ?? priorResidenceMs;
 
 /**
- * Makes the dynamics that follows from a report.
+ * Returns the averages after a load report.
  *
- * @param dynamics - The dynamics so far.
+ * @param model - The averages so far.
  * @param report - The report.
- * @param before - The report before it of the same upstream; `undefined` without one.
+ * @param previous - The previous report of the same upstream; `undefined` without one.
  */
 export const updateFromReport = (
-    dynamics: ServiceLoadModel,
-    report: LoadReading,
-    before: LoadReading | undefined,
+    model: ServiceLoadModel,
+    report: ReportedLoad,
+    previous: ReportedLoad | undefined,
 ): ServiceLoadModel => ({
-    ...dynamics,
-    meanSlowness: meanSlownessOf(dynamics) + slownessShare * (report.slowness - meanSlownessOf(dynamics)),
-    usualSlowness: dynamics.usualSlowness * (1 + usualStep * (usualShare - (report.slowness < dynamics.usualSlowness ? 1 : 0))),
-    meanLoad: mean(dynamics.meanLoad, Math.min(maximumLoad, report.inFlight / Math.max(1, report.slots))),
-    change: before === undefined ? dynamics.change : afterPair(dynamics, before, report),
+    ...model,
+    meanSlowdown: meanSlowdownOf(model) + slowdownAlpha * (report.slowdown - meanSlowdownOf(model)),
+    baselineSlowdown: model.baselineSlowdown
+        * (1 + baselineStep * (baselineQuantile - (report.slowdown < model.baselineSlowdown ? 1 : 0))),
+    meanLoad: updateMean(model.meanLoad, Math.min(maximumLoad, report.inFlight / Math.max(1, report.slots))),
+    variation: previous === undefined ? model.variation : updateVariation(model, previous, report),
 });
 
-/** Makes the dynamics that follows from an answer. */
-export const updateFromResponse = (dynamics: ServiceLoadModel, answer: ResponseSample): ServiceLoadModel => ({
-    ...dynamics,
-    residenceMs: dynamics.residenceMs === undefined ? answer.latencyMs : mean(dynamics.residenceMs, answer.latencyMs),
-    crowding:
-        answer.baselineMs === undefined || answer.reportAgeMs < 0 || answer.reportAgeMs > freshMs || answer.expectedSlowdown <= 0
-            ? dynamics.crowding
-            : noteCrowding(
-                dynamics.crowding,
-                answer.utilization,
-                answer.latencyMs / (answer.baselineMs * answer.expectedSlowdown),
-                answer.atMs,
-            ),
+/** Returns the averages after a response. */
+export const updateFromResponse = (model: ServiceLoadModel, response: ResponseSample): ServiceLoadModel => ({
+    ...model,
+    residenceMs: model.residenceMs === undefined ? response.latencyMs : updateMean(model.residenceMs, response.latencyMs),
+    contention: response.baselineMs === undefined || response.reportAgeMs < 0 || response.reportAgeMs > currentReportMs
+            || response.expectedSlowdown <= 0
+        ? model.contention
+        : recordContention(
+            model.contention,
+            response.utilization,
+            response.latencyMs / (response.baselineMs * response.expectedSlowdown),
+            response.atMs,
+        ),
 });
 
-/** Share of what was reported that still holds after some time, against what is usual. */
-export const keptShare = (ageMs: number, keptMs: number): number => Math.exp(-ageMs / keptMs);
+/** Returns the weight of a report after some time; the rest is the weight of the averages. */
+export const decayFactor = (ageMs: number, timeConstantMs: number): number => Math.exp(-ageMs / timeConstantMs);
 
-const meanSlownessOf = ({ meanSlowness }: ServiceLoadModel): number => meanSlowness ?? priorSlowness;
+const meanSlowdownOf = ({ meanSlowdown }: ServiceLoadModel): number => meanSlowdown ?? priorSlowdown;
 
-const mean = (before: number, reading: number): number => before + readingShare * (reading - before);
+const updateMean = (previous: number, sample: number): number => previous + sampleAlpha * (sample - previous);
 
-const afterPair = (dynamics: ServiceLoadModel, before: LoadReading, after: LoadReading): SlownessChange => {
-    const gapMs = after.atMs - before.atMs;
-    // Reports further apart than the slowness lasts tell only that it has changed, not when.
-    if (gapMs <= 0 || gapMs > slownessLastsMs(dynamics)) {
-        return dynamics.change;
+const updateVariation = (model: ServiceLoadModel, previous: ReportedLoad, current: ReportedLoad): SlowdownVariation => {
+    const intervalMs = current.atMs - previous.atMs;
+    // Reports further apart than the slowdown lasts show that it has changed, but not when.
+    if (intervalMs <= 0 || intervalMs > slowdownDecayMs(model)) {
+        return model.variation;
     }
-    const { spread, difference } = dynamics.change;
+    const { spread, difference } = model.variation;
     return {
-        spread: spread * pairKept + (before.slowness - meanSlownessOf(dynamics)) ** 2 * gapMs,
-        difference: difference * pairKept + (after.slowness - before.slowness) ** 2 / 2,
+        spread: spread * pairDecayFactor + (previous.slowdown - meanSlowdownOf(model)) ** 2 * intervalMs,
+        difference: difference * pairDecayFactor + (current.slowdown - previous.slowdown) ** 2 / 2,
     };
 };
--- a/packages/decision/src/standard-choosers.ts
+++ b/packages/decision/src/standard-choosers.ts
@@ -1,5 +1,5 @@
 /**
- * The well-known choosers, which the adaptive one is measured against.
+ * The standard load-balancing choosers.
  *
  * @packageDocumentation
  */
@@ -7,11 +7,11 @@
 import type { ChooserName } from "@harrierhitch/configuration";
 import type { UpstreamFacts } from "@harrierhitch/policy";
 import type { Chooser, ChooserInput, Selection } from "./chooser.js";
-import { all, lowest, pick, sample } from "./compare.js";
+import { allIndexes, drawIndex, sampleIndexes, selectLowest } from "./compare.js";
 
 const noScores: readonly number[] = [];
 
-/** Takes the candidates in turn. */
+/** Selects the candidates in turn. */
 export class RoundRobinChooser implements Chooser {
     readonly name: ChooserName = "round-robin";
 
@@ -20,48 +20,48 @@
     }
 }
 
-/** Takes any candidate. */
+/** Selects a random candidate. */
 export class RandomChooser implements Chooser {
     readonly name: ChooserName = "random";
 
     select(input: ChooserInput): Selection {
-        return { index: pick(input.draws[0], input.candidates.length), scores: noScores };
+        return { index: drawIndex(input.draws[0], input.candidates.length), scores: noScores };
     }
 }
 
-/** Takes the candidate with the fewest requests in flight from this instance. */
+/** Selects the candidate with the fewest requests in flight from this instance. */
 export class LeastOutstandingChooser implements Chooser {
     readonly name: ChooserName = "least-outstanding";
 
     select(input: ChooserInput): Selection {
-        return lowest(input, all(input), inFlightOf);
+        return selectLowest(input, allIndexes(input), inFlightOf);
     }
 }
 
-/** Takes the less busy of two random candidates; by the policy's rank where it has one. */
+/** Selects the better of two random candidates, by the policy's rank or else by requests in flight. */
 export class TwoChoicesChooser implements Chooser {
     readonly name: ChooserName = "two-choices";
 
     select(input: ChooserInput): Selection {
-        return lowest(input, sample(input, 2), input.rank ?? inFlightOf);
+        return selectLowest(input, sampleIndexes(input, 2), input.rank ?? inFlightOf);
     }
 }
 
-/** Takes the candidate with the lowest decayed latency, counting requests in flight. */
+/** Selects the candidate with the lowest average latency, multiplied by its requests in flight. */
 export class LatencyAverageChooser implements Chooser {
     readonly name: ChooserName = "latency-average";
 
     select(input: ChooserInput): Selection {
-        return lowest(input, all(input), candidate => candidate.latencyMs * (candidate.inFlight + 1));
+        return selectLowest(input, allIndexes(input), candidate => candidate.latencyMs * (candidate.inFlight + 1));
     }
 }
 
-/** Takes the candidate with the lowest rank of the policy; without a rank, the fewest in flight. */
+/** Selects the candidate with the lowest rank of the policy; without a rank, the one with the fewest requests in flight. */
 export class LowestRankChooser implements Chooser {
     readonly name: ChooserName = "lowest-rank";
 
     select(input: ChooserInput): Selection {
-        return lowest(input, all(input), input.rank ?? inFlightOf);
+        return selectLowest(input, allIndexes(input), input.rank ?? inFlightOf);
     }
 }
 
--- a/packages/decision/src/succeeded-keys.ts
+++ b/packages/decision/src/succeeded-keys.ts
@@ -1,50 +1,50 @@
 /**
- * Requests that upstreams have answered lately.
+ * The keys of requests that recently received a response.
  *
  * @packageDocumentation
  */
 
 import type { RequestKey } from "@harrierhitch/core";
-import { agreeingSets, pathPartOf } from "./request-attributes.js";
+import { commonMasks, pathPartOf } from "./request-attributes.js";
 
-/** Most keys that are remembered, the latest of them: a megabyte, and minutes of an instance's requests. */
+/** Most keys that are stored; the oldest is evicted first. */
 const maximumKeys = 4096;
 
-/** Remembers which requests were answered, whoever asks for them often the longest. */
-export class AnsweredKeys {
+/** Stores which requests succeeded. A repeated key counts as the latest. */
+export class SucceededKeys {
     /** Oldest first. */
     private readonly keys = new Set<RequestKey>();
     private readonly byPath = new Map<string, Set<RequestKey>>();
 
-    /** Notes that a request was answered. */
-    note(key: RequestKey): void {
-        this.forget(key);
+    /** Records that a request received a response. */
+    record(key: RequestKey): void {
+        this.remove(key);
         this.keys.add(key);
-        const alike = this.byPath.get(pathPartOf(key)) ?? new Set();
-        this.byPath.set(pathPartOf(key), alike.add(key));
+        const samePath = this.byPath.get(pathPartOf(key)) ?? new Set();
+        this.byPath.set(pathPartOf(key), samePath.add(key));
         if (this.keys.size > maximumKeys) {
             const [oldest = key] = this.keys;
-            this.forget(oldest);
+            this.remove(oldest);
         }
     }
 
     /**
-     * In which sets of traits an answered request agrees with another one, as far as is remembered.
+     * Returns the attribute masks in which a stored request equals another one.
      *
-     * @param key - The other one.
-     * @returns Bits: bit `n` stands for the set of traits `n`.
+     * @param key - The other request.
+     * @returns A bit set: bit `n` stands for the attribute mask `n`.
      */
-    agreeingWith(key: RequestKey): number {
-        const alike = this.byPath.get(pathPartOf(key)) ?? new Set();
-        return [...alike].reduce((bits, answered) => bits | agreeingSets(key, answered), 0);
+    matchingMasks(key: RequestKey): number {
+        const samePath = this.byPath.get(pathPartOf(key)) ?? new Set();
+        return [...samePath].reduce((bits, succeeded) => bits | commonMasks(key, succeeded), 0);
     }
 
-    private forget(key: RequestKey): void {
+    private remove(key: RequestKey): void {
         const path = pathPartOf(key);
-        const alike = this.byPath.get(path);
+        const samePath = this.byPath.get(path);
         this.keys.delete(key);
-        alike?.delete(key);
-        if (alike?.size === 0) {
+        samePath?.delete(key);
+        if (samePath?.size === 0) {
             this.byPath.delete(path);
         }
     }
--- a/packages/decision/src/track-upstream.ts
+++ b/packages/decision/src/track-upstream.ts
@@ -1,54 +1,61 @@
 /**
- * Taking over a listed or configured upstream: with what was believed of it, or as one of which nothing is known.
+ * Adding an upstream to the tracker or updating it.
  *
  * @packageDocumentation
  */
 
-import { type InFlightRequest, isSameIncarnation, type Tracked, type UpstreamEntry } from "./tracked-upstream.js";
-import { type EstimateOptions, initialEstimate, update, type UpstreamEstimate } from "./upstream-estimate.js";
+import { type InFlightRequest, isSameIncarnation, type TrackedUpstream, type UpstreamEntry } from "./tracked-upstream.js";
+import { applyObservation, type EstimateOptions, initialEstimate, type UpstreamEstimate } from "./upstream-estimate.js";
 import type { UpstreamNotices } from "./upstream-notices.js";
 
-/** Options of {@link track}. */
-export interface TrackOptions {
-    readonly belief: EstimateOptions;
+/** Options of {@link trackUpstream}. */
+export interface TrackUpstreamOptions {
+    readonly estimate: EstimateOptions;
     readonly nowMs: number;
-    /** Whether the service had no upstreams before: those that do not say so are then not cold. */
+    /** Whether the service had no upstreams before; upstreams that state no cold time are then not cold. */
     readonly isFirst: boolean;
-    /** What upstreams told of themselves, also before their entries lapsed. */
+    /** Notices of upstreams about themselves, also from before their entries lapsed. */
     readonly notices: UpstreamNotices;
 }
 
 /**
- * Takes over an upstream.
+ * Returns the tracked upstream for a directory entry.
  *
- * @param upstream - The upstream as it is listed now.
- * @param old - The same id as it was known before; `undefined` for one that is new.
- * @param options - How beliefs begin.
+ * @param upstream - The entry.
+ * @param previous - The upstream with the same id that was tracked before; `undefined` for a new one.
+ * @param options - Parameters of its estimate.
  */
-export const track = (upstream: UpstreamEntry, old: Tracked | undefined, options: TrackOptions): Tracked =>
-    old !== undefined && isSameIncarnation(old.upstream, upstream)
-        ? { upstream, belief: afterListing(old, upstream, options), flights: old.flights }
-        : { upstream, belief: beliefOfStart(upstream, options), flights: new Set<InFlightRequest>() };
+export const trackUpstream = (
+    upstream: UpstreamEntry,
+    previous: TrackedUpstream | undefined,
+    options: TrackUpstreamOptions,
+): TrackedUpstream =>
+    previous !== undefined && isSameIncarnation(previous.upstream, upstream)
+        ? { upstream, estimate: updateFromListing(previous, upstream, options), inFlightRequests: previous.inFlightRequests }
+        : { upstream, estimate: estimateOfIncarnation(upstream, options), inFlightRequests: new Set<InFlightRequest>() };
 
-const beliefOfStart = (upstream: UpstreamEntry, { belief, nowMs, isFirst, notices }: TrackOptions): UpstreamEstimate => {
+const estimateOfIncarnation = (
+    upstream: UpstreamEntry,
+    { estimate, nowMs, isFirst, notices }: TrackUpstreamOptions,
+): UpstreamEstimate => {
     const { coldMs } = upstream;
-    const fresh = initialEstimate(belief, nowMs);
+    const initial = initialEstimate(estimate, nowMs);
     if (notices.isDraining(upstream)) {
-        // Taken for new, an upstream that has said it leaves would get requests again once its entry lapses and comes back.
-        return update(fresh, { type: "draining", atMs: nowMs }, belief, () => false);
+        // Without this, a draining upstream would receive requests again once its entry lapses and returns.
+        return applyObservation(initial, { type: "draining", atMs: nowMs }, estimate, () => false);
     }
     const isCold = coldMs === undefined ? !isFirst : coldMs > 0;
-    return isCold ? update(fresh, { type: "returned", atMs: nowMs, coldMs }, belief, () => false) : fresh;
+    return isCold ? applyObservation(initial, { type: "returned", atMs: nowMs, coldMs }, estimate, () => false) : initial;
 };
 
-/** The belief of an upstream that stays, after it may have been listed anew. */
-const afterListing = (
-    { upstream: before, belief }: Tracked,
+/** The estimate of an upstream that stays, after it may have been listed again. */
+const updateFromListing = (
+    { upstream: previousEntry, estimate }: TrackedUpstream,
     upstream: UpstreamEntry,
-    options: TrackOptions,
+    options: TrackUpstreamOptions,
 ): UpstreamEstimate => {
     const { coldMs = 0 } = upstream;
-    return upstream !== before && coldMs > 0
-        ? update(belief, { type: "cooled", atMs: options.nowMs, coldMs }, options.belief, () => false)
-        : belief;
+    return upstream !== previousEntry && coldMs > 0
+        ? applyObservation(estimate, { type: "cooled", atMs: options.nowMs, coldMs }, options.estimate, () => false)
+        : estimate;
 };
--- a/packages/decision/src/tracked-upstream.ts
+++ b/packages/decision/src/tracked-upstream.ts
@@ -1,5 +1,5 @@
 /**
- * One upstream as a service's beliefs keep it, and the facts that policies see of it.
+ * One tracked upstream, and its facts for policies.
  *
  * @packageDocumentation
  */
@@ -9,7 +9,7 @@
 import type { UpstreamFacts } from "@harrierhitch/policy";
 import type { LimitPace } from "./limit-admission.js";
 import { predictLoad } from "./load-prediction.js";
-import type { LoadReading, ServiceLoadModel } from "./service-load-model.js";
+import type { ReportedLoad, ServiceLoadModel } from "./service-load-model.js";
 import type { UpstreamEstimate } from "./upstream-estimate.js";
 
 /** One request in flight to an upstream. */
@@ -18,27 +18,27 @@
     readonly sentAtMs: number;
 }
 
-/** An upstream, with the time for which it will answer slowly and its start, where they are known. */
+/** An upstream with its cold time and its incarnation, if they are known. */
 export type UpstreamEntry = Upstream & {
     readonly coldMs?: number;
-    /** When this start of it began, in milliseconds since the Unix epoch; 0 or absent where it does not say. */
+    /** When this incarnation began, in milliseconds since the Unix epoch; 0 or absent if unknown. */
     readonly startedAtMs?: number;
 };
 
-/** Whether two entries speak of one start: an upstream that started again holds and knows nothing of before. */
+/** Whether two entries describe the same incarnation. A restarted upstream has lost all requests and state. */
 export const isSameIncarnation = (a: UpstreamEntry, b: UpstreamEntry): boolean =>
     a.address === b.address && a.port === b.port && (a.startedAtMs ?? 0) === (b.startedAtMs ?? 0);
 
-/** Whether something was learned of another start of an upstream than the one that is listed; what names none may be of this one. */
-export const isOtherStart = ({ startedAtMs: known = 0 }: UpstreamEntry, startedAtMs: number): boolean =>
-    known > 0 && startedAtMs > 0 && known !== startedAtMs;
+/** Whether an observation was made of another incarnation than the listed one. An unidentified one counts as the listed one. */
+export const isOtherIncarnation = ({ startedAtMs: listedAtMs = 0 }: UpstreamEntry, startedAtMs: number): boolean =>
+    listedAtMs > 0 && startedAtMs > 0 && listedAtMs !== startedAtMs;
 
-/** An upstream with what is believed of it and what is in flight there. */
-export interface Tracked {
+/** An upstream with its estimate and its requests in flight. */
+export interface TrackedUpstream {
     readonly upstream: UpstreamEntry;
-    belief: UpstreamEstimate;
+    estimate: UpstreamEstimate;
     /** Requests in flight, oldest first. */
-    readonly flights: Set<InFlightRequest>;
+    readonly inFlightRequests: Set<InFlightRequest>;
 }
 
 /**
@@ -47,70 +47,70 @@
  * @param all - Its upstreams.
  * @param maximumShare - Most of them that may be ejected at the same time, as a share.
  */
-export const mayEject = (all: readonly Tracked[], maximumShare: number): boolean =>
-    all.filter(({ belief }) => belief.state === "ejected").length + 1 <= all.length * maximumShare;
+export const mayEject = (all: readonly TrackedUpstream[], maximumShare: number): boolean =>
+    all.filter(({ estimate }) => estimate.state === "ejected").length + 1 <= all.length * maximumShare;
 
-/** What the facts of an upstream depend on besides itself. */
+/** The inputs of an upstream's facts besides the upstream itself. */
 export interface FactsContext {
-    readonly dynamics: ServiceLoadModel;
+    readonly loadModel: ServiceLoadModel;
     readonly nowMs: number;
     /** Availability zone of this instance. */
     readonly availabilityZone: string;
-    /** Whether to take fuller upstreams for as good as others where too little is known of them. */
-    readonly isTrial: boolean;
-    /** Whether a request of this instance may go there now, if it is cold or names a limit. */
+    /** Whether to assume no contention where it is unknown. */
+    readonly isExploration: boolean;
+    /** Whether a request of this instance may go there now, with regard to cold start and rate limit. */
     readonly isAdmitted: boolean;
-    /** How fast this instance may send there; `undefined` where it names no limit. */
+    /** The pace at which this instance may send there; `undefined` without a rate limit. */
     readonly pace: LimitPace | undefined;
-    /** Milliseconds for which it wants nothing from this instance; 0 when it takes requests. */
-    readonly restMs: number;
+    /** Milliseconds for which it asked to receive no requests; 0 when it accepts them. */
+    readonly backoffMs: number;
 }
 
-/** The last report of an upstream; `undefined` without one. */
-export const readingOf = ({ slots }: UpstreamEntry, belief: UpstreamEstimate): LoadReading | undefined =>
-    belief.reportedAtMs === undefined
+/** Returns the last load report of an upstream; `undefined` without one. */
+export const lastReportOf = ({ slots }: UpstreamEntry, estimate: UpstreamEstimate): ReportedLoad | undefined =>
+    estimate.reportedAtMs === undefined
         ? undefined
         : {
-            atMs: belief.reportedAtMs,
-            inFlight: belief.reportedInFlight,
-            slowness: belief.slowness,
-            slots: belief.reportedSlots ?? slots,
+            atMs: estimate.reportedAtMs,
+            inFlight: estimate.reportedInFlight,
+            slowdown: estimate.slowdown,
+            slots: estimate.reportedSlots ?? slots,
         };
 
 /**
- * The facts of an upstream as policies see them.
+ * Returns the facts of an upstream for policies.
  *
  * @param tracked - The upstream.
- * @param context - What its service and its instance add.
+ * @param context - Inputs from its service and its instance.
  */
 export const toFacts = (
-    { upstream, belief, flights }: Tracked,
-    { dynamics, nowMs, availabilityZone, isTrial, isAdmitted, pace, restMs }: FactsContext,
+    { upstream, estimate, inFlightRequests }: TrackedUpstream,
+    { loadModel, nowMs, availabilityZone, isExploration, isAdmitted, pace, backoffMs }: FactsContext,
 ): UpstreamFacts => {
-    const [oldest] = flights;
-    const known = {
-        inFlight: flights.size,
-        reportedInFlight: belief.reportedAtMs === undefined ? -1 : belief.reportedInFlight,
-        reportAgeMs: belief.reportedAtMs === undefined ? -1 : nowMs - belief.reportedAtMs,
-        sentSinceReport: belief.reportedAtMs === undefined ? -1 : belief.sentSinceReport,
-        slowness: belief.slowness,
-        slots: belief.reportedSlots ?? upstream.slots,
+    const [oldest] = inFlightRequests;
+    const loadSample = {
+        inFlight: inFlightRequests.size,
+        reportedInFlight: estimate.reportedAtMs === undefined ? -1 : estimate.reportedInFlight,
+        reportAgeMs: estimate.reportedAtMs === undefined ? -1 : nowMs - estimate.reportedAtMs,
+        sentSinceReport: estimate.reportedAtMs === undefined ? -1 : estimate.sentSinceReport,
+        slowness: estimate.slowdown,
+        slots: estimate.reportedSlots ?? upstream.slots,
     };
     return {
         id: upstream.id,
         availabilityZone: upstream.availabilityZone,
         sameZone: upstream.availabilityZone === availabilityZone,
-        state: belief.state,
-        limit: isAdmitted ? Math.floor(belief.limit) : 0,
+        state: estimate.state,
+        limit: isAdmitted ? Math.floor(estimate.limit) : 0,
         oldestInFlightMs: oldest === undefined ? 0 : nowMs - oldest.sentAtMs,
-        latencyMs: belief.latencyMs,
-        latencyAgeMs: belief.lastResponseAtMs === undefined ? -1 : nowMs - belief.lastResponseAtMs,
-        failureRate: belief.failureRate,
-        restMs,
+        latencyMs: estimate.latencyMs,
+        latencyAgeMs: estimate.lastResponseAtMs === undefined ? -1 : nowMs - estimate.lastResponseAtMs,
+        failureRate: estimate.failureRate,
+        restMs: backoffMs,
         takesPerSecond: pace?.perSecond ?? -1,
         shareGapMs: pace?.gapMs ?? 0,
         shareInMs: pace?.waitMs ?? 0,
-        ...known,
-        ...predictLoad(known, dynamics, isTrial),
+        ...loadSample,
+        ...predictLoad(loadSample, loadModel, isExploration),
     };
 };
--- a/packages/decision/src/upstream-backoff.ts
+++ b/packages/decision/src/upstream-backoff.ts
@@ -1,56 +1,52 @@
 /**
- * What to do with a request while all upstreams of its service rest, or name limits that leave nothing to this instance now.
- *
- * Load pattern: upstreams that are overrun or being mended turn away whatever comes, and ask to be left alone, or name how little they
- * take. Asking them all the same costs each caller a round trip and the upstreams their rest; holding callers for longer than
- * helps makes them late.
+ * Handling of a request while all upstreams of its service asked for a backoff, or their rate limits permit nothing now.
  *
  * @packageDocumentation
  */
 
 import type { UpstreamFacts } from "@harrierhitch/policy";
 
-/** Longest wait for an ejected upstream, which may take requests again before any rest ends, in milliseconds. */
-const ejectedMs = 1000;
+/** Longest wait while an upstream is ejected, in milliseconds: it may accept requests before any backoff ends. */
+const maximumEjectedWaitMs = 1000;
 
-/** Shortest time over which callers come back after a rest, in milliseconds: several times what a request works. */
-const shortestSpreadMs = 250;
+/** Shortest time over which the retries of callers are spread after a backoff, in milliseconds. */
+const minimumSpreadMs = 250;
 
-/** Time over which callers come back, as a share of the rest that is left: all at its end, they would crowd the upstreams. */
+/** Time over which the retries are spread, as a share of the remaining backoff, so that they do not arrive all at once. */
 const spreadShare = 0.5;
 
-/** What the wait for an upstream depends on. */
+/** The inputs of the wait for an upstream. */
 export type UpstreamWait = Pick<UpstreamFacts, "state" | "restMs" | "shareInMs">;
 
 /**
- * Time until the first upstream takes a request of this instance, where all that are there rest or are limited.
+ * Returns the time until the first upstream accepts a request of this instance, if all of them back off or are limited.
  *
- * @param upstreams - What is believed of them.
- * @returns Milliseconds; `undefined` where some take requests now, or none is there.
+ * @param upstreams - The upstreams.
+ * @returns Milliseconds; `undefined` if some accept requests now, or there are none.
  */
 export const earliestAvailableMs = (upstreams: readonly UpstreamWait[]): number | undefined => {
-    const staying = upstreams.filter(({ state }) => state !== "draining");
-    const usable = staying.filter(({ state }) => state !== "ejected");
+    const remaining = upstreams.filter(({ state }) => state !== "draining");
+    const usable = remaining.filter(({ state }) => state !== "ejected");
     const waitMs = Math.min(...usable.map(waitForMs));
     if (usable.length === 0 || waitMs <= 0) {
         return undefined;
     }
-    return usable.length < staying.length ? Math.min(waitMs, ejectedMs) : waitMs;
+    return usable.length < remaining.length ? Math.min(waitMs, maximumEjectedWaitMs) : waitMs;
 };
 
-/** Time until an upstream takes a request of this instance, in milliseconds. */
-const waitForMs = ({ restMs, shareInMs }: UpstreamWait): number => Math.max(restMs, shareInMs);
+/** Returns the time until an upstream accepts a request of this instance, in milliseconds. */
+const waitForMs = ({ restMs: backoffMs, shareInMs }: UpstreamWait): number => Math.max(backoffMs, shareInMs);
 
-/** Whether limits bind some of the upstreams, and not rests all of them. */
+/** Whether rate limits apply, and not only backoffs of all upstreams. */
 export const isLimited = (upstreams: readonly UpstreamWait[]): boolean =>
-    upstreams.some(({ state, restMs, shareInMs }) => state !== "draining" && restMs <= 0 && shareInMs > 0);
+    upstreams.some(({ state, restMs: backoffMs, shareInMs }) => state !== "draining" && backoffMs <= 0 && shareInMs > 0);
 
 /**
- * Time until the turn of a request comes where upstreams name limits, in milliseconds.
+ * Returns the time until a request gets a permit of the upstreams' rate limits, in milliseconds.
  *
- * @param waitMs - Time until the first of them takes a request of this instance.
- * @param ahead - Requests that wait here and go first.
- * @param upstreams - What is believed of them.
+ * @param waitMs - Time until the first upstream accepts a request of this instance.
+ * @param ahead - Requests in the queue of this instance that go first.
+ * @param upstreams - The upstreams.
  */
 export const queueWaitMs = (waitMs: number, ahead: number, upstreams: readonly UpstreamFacts[]): number => {
     const perMs = upstreams.reduce((sum, { shareGapMs }) => sum + (shareGapMs > 0 ? 1 / shareGapMs : 0), 0);
@@ -58,11 +54,11 @@
 };
 
 /**
- * When a caller that was turned away during a rest should come back: after it, and not at the same moment as the others.
+ * Returns when a caller that was refused during a backoff should retry: after its end, with jitter.
  *
- * @param restMs - Milliseconds until the rest ends.
+ * @param backoffMs - Milliseconds until the backoff ends.
  * @param draw - A random number of at least 0 and below 1.
  * @returns Milliseconds.
  */
-export const jitteredRetryAfterMs = (restMs: number, draw: number): number =>
-    restMs + draw * Math.max(shortestSpreadMs, restMs * spreadShare);
+export const jitteredRetryAfterMs = (backoffMs: number, draw: number): number =>
+    backoffMs + draw * Math.max(minimumSpreadMs, backoffMs * spreadShare);
