--- a/packages/decision/src/upstream-estimate.ts
+++ b/packages/decision/src/upstream-estimate.ts
@@ -1,5 +1,5 @@
 /**
- * What one instance believes of one upstream.
+ * The estimate that one instance keeps of one upstream: its state, load, latency and failures.
  *
  * @packageDocumentation
  */
@@ -7,21 +7,21 @@
 import type { UpstreamState } from "@harrierhitch/policy";
 import type { LoadFigures, Observation } from "./observation.js";
 
-/** Numbers that say how beliefs change; see docs/DECISIONS.md for how they were found. */
+/** Parameters by which estimates change. */
 export interface EstimateOptions {
-    /** Share of a new latency in the decayed average. */
+    /** Weight of a new latency in the moving average. */
     readonly latencyAlpha: number;
-    /** Share of a new result in the decayed failure rate. */
+    /** Weight of a new result in the moving failure rate. */
     readonly failureAlpha: number;
-    /** Failures in a row after which an upstream is ejected. */
+    /** Consecutive failures after which an upstream is ejected. */
     readonly ejectAfterFailures: number;
-    /** Decayed failure rate above which an upstream is ejected. */
+    /** Failure rate above which an upstream is ejected. */
     readonly ejectFailureRate: number;
-    /** Time of the first ejection; each further one in a row doubles it. */
+    /** Duration of the first ejection; each consecutive one doubles it. */
     readonly ejectionMs: number;
     /** Longest ejection. */
     readonly maximumEjectionMs: number;
-    /** Time for which an upstream that came back counts as cold. */
+    /** Time for which an upstream that returned counts as cold. */
     readonly coldMs: number;
     /** Most requests in flight to one upstream. */
     readonly maximumLimit: number;
@@ -39,43 +39,43 @@
     maximumLimit: 16,
 };
 
-/** An immutable belief; {@link update} makes the next one. */
+/** An immutable estimate; {@link applyObservation} returns the next one. */
 export interface UpstreamEstimate {
-    /** Time at which the upstream became known or came back; older news of its leaving is void. */
+    /** Time at which the upstream was added or returned; draining notices from before are ignored. */
     readonly createdAtMs: number;
     readonly state: UpstreamState;
     /** Time of the last change of state. */
     readonly stateAtMs: number;
-    /** End of the ejection; meaningful in the state `ejected`. */
+    /** End of the ejection; set in the state `ejected`. */
     readonly ejectedUntilMs: number;
-    /** Ejections in a row. */
-    readonly ejections: number;
+    /** Consecutive ejections. */
+    readonly consecutiveEjections: number;
     readonly consecutiveFailures: number;
     readonly failureRate: number;
     readonly latencyMs: number;
-    /** Time of the last answer; `undefined` before the first. */
+    /** Time of the last response; `undefined` before the first. */
     readonly lastResponseAtMs: number | undefined;
     readonly reportedInFlight: number;
-    /** Time of the last report; `undefined` without one. */
+    /** Time of the last load report; `undefined` without one. */
     readonly reportedAtMs: number | undefined;
     readonly sentSinceReport: number;
-    /** Factor by which work takes longer there than usual, by the last report. */
-    readonly slowness: number;
-    /** Slots by the last report; `undefined` while only the configured ones are known. */
+    /** Factor by which work takes longer there than normal, according to the last report. */
+    readonly slowdown: number;
+    /** Slots according to the last report; `undefined` if only the configured number is available. */
     readonly reportedSlots: number | undefined;
     /** Time for which it stays in the state `cold`. */
     readonly coldMs: number;
-    /** Most requests in flight, with a fraction that grows towards the next. */
+    /** Most requests in flight; the fraction grows until one more is permitted. */
     readonly limit: number;
 }
 
-/** The belief about an upstream of which nothing is known. */
+/** Returns the estimate of an upstream without any observation. */
 export const initialEstimate = (options: EstimateOptions, atMs: number): UpstreamEstimate => ({
     createdAtMs: atMs,
     state: "ready",
     stateAtMs: atMs,
     ejectedUntilMs: 0,
-    ejections: 0,
+    consecutiveEjections: 0,
     consecutiveFailures: 0,
     failureRate: 0,
     latencyMs: 0,
@@ -83,46 +83,47 @@
     reportedInFlight: 0,
     reportedAtMs: undefined,
     sentSinceReport: 0,
-    slowness: 1,
+    slowdown: 1,
     reportedSlots: undefined,
     coldMs: options.coldMs,
     limit: options.maximumLimit,
 });
 
 /**
- * Makes the belief that follows from an observation.
+ * Returns the estimate that follows from an observation.
  *
- * @param belief - The belief so far.
- * @param observation - What was learned.
- * @param options - How beliefs change.
- * @param mayEject - Whether the cap on ejected upstreams leaves room for one more.
+ * @param estimate - The estimate so far.
+ * @param observation - What was observed.
+ * @param options - Parameters of estimates.
+ * @param mayEject - Whether the limit on ejected upstreams permits one more.
  */
-export const update = (
-    belief: UpstreamEstimate,
+export const applyObservation = (
+    estimate: UpstreamEstimate,
     observation: Observation,
     options: EstimateOptions,
     mayEject: () => boolean,
 ): UpstreamEstimate => {
     switch (observation.type) {
         case "started":
-            return { ...belief, sentSinceReport: belief.sentSinceReport + 1 };
+            return { ...estimate, sentSinceReport: estimate.sentSinceReport + 1 };
         case "answered":
             return observation.failed
-                ? afterFailure(afterReport(belief, observation), observation.atMs, options, mayEject)
-                : afterSuccess(afterReport(belief, observation), observation, options);
+                ? applyFailure(applyReport(estimate, observation), observation.atMs, options, mayEject)
+                : applySuccess(applyReport(estimate, observation), observation, options);
         case "failed":
-            return afterFailure(belief, observation.atMs, options, mayEject);
+            return applyFailure(estimate, observation.atMs, options, mayEject);
         case "shed":
-            return { ...belief, limit: Math.max(1, belief.limit * shedFactor) };
+            return { ...estimate, limit: Math.max(1, estimate.limit * shedFactor) };
         case "draining":
-            return belief.state === "draining" || observation.atMs < belief.createdAtMs
-                ? belief
-                : withState(belief, "draining", observation.atMs);
+            return estimate.state === "draining" || observation.atMs < estimate.createdAtMs
+                ? estimate
+                : withState(estimate, "draining", observation.atMs);
         case "resting":
-            // After the rest one request at a time goes there until it answers, since other instances return at about the same moment.
-            return { ...belief, limit: limitAfterRest };
+            // After a backoff the upstream receives one request at a time until it responds, because other instances return at
+            // about the same moment.
+            return { ...estimate, limit: limitAfterBackoff };
         case "limited":
-            return belief;
+            return estimate;
         case "returned":
             return {
                 ...withState(initialEstimate(options, observation.atMs), "cold", observation.atMs),
@@ -130,92 +131,92 @@
                 coldMs: observation.coldMs ?? options.coldMs,
             };
         case "cooled":
-            return belief.state === "ready" || belief.state === "cold"
-                ? { ...withState(belief, "cold", observation.atMs), coldMs: observation.coldMs, limit: coldLimit }
-                : belief;
+            return estimate.state === "ready" || estimate.state === "cold"
+                ? { ...withState(estimate, "cold", observation.atMs), coldMs: observation.coldMs, limit: coldLimit }
+                : estimate;
         case "reported":
-            return afterReport(belief, { ...observation, reportedInFlight: observation.inFlight });
+            return applyReport(estimate, { ...observation, reportedInFlight: observation.inFlight });
     }
 };
 
 /**
- * Makes the belief that follows from the passing of time alone.
+ * Returns the estimate after time has passed without an observation.
  *
- * @param belief - The belief so far.
+ * @param estimate - The estimate so far.
  * @param nowMs - The time now.
  */
-export const atTime = (belief: UpstreamEstimate, nowMs: number): UpstreamEstimate => {
-    if (belief.state === "ejected" && nowMs >= belief.ejectedUntilMs) {
-        return { ...withState(belief, "suspect", nowMs), limit: 1, consecutiveFailures: 0 };
+export const atTime = (estimate: UpstreamEstimate, nowMs: number): UpstreamEstimate => {
+    if (estimate.state === "ejected" && nowMs >= estimate.ejectedUntilMs) {
+        return { ...withState(estimate, "suspect", nowMs), limit: 1, consecutiveFailures: 0 };
     }
-    return belief.state === "cold" && nowMs >= belief.stateAtMs + belief.coldMs
-        ? withState(belief, "ready", nowMs)
-        : belief;
+    return estimate.state === "cold" && nowMs >= estimate.stateAtMs + estimate.coldMs
+        ? withState(estimate, "ready", nowMs)
+        : estimate;
 };
 
 const shedFactor = 0.7;
 const coldLimit = 1;
-const limitAfterRest = 1;
+const limitAfterBackoff = 1;
 
-/** Decayed failure rate with which an upstream leaves the state `suspect`. */
+/** Failure rate below which an upstream leaves the state `suspect`. */
 const recoveredFailureRate = 0.25;
 
-const withState = (belief: UpstreamEstimate, state: UpstreamState, atMs: number): UpstreamEstimate => ({
-    ...belief,
+const withState = (estimate: UpstreamEstimate, state: UpstreamState, atMs: number): UpstreamEstimate => ({
+    ...estimate,
     state,
     stateAtMs: atMs,
 });
 
-const afterReport = (
-    belief: UpstreamEstimate,
+const applyReport = (
+    estimate: UpstreamEstimate,
     report: LoadFigures & { readonly atMs: number; readonly reportedInFlight: number | undefined; },
 ): UpstreamEstimate =>
     report.reportedInFlight === undefined
-        ? belief
+        ? estimate
         : {
-            ...belief,
+            ...estimate,
             reportedInFlight: report.reportedInFlight,
             reportedAtMs: report.atMs,
             sentSinceReport: 0,
-            slowness: report.slowness ?? 1,
-            reportedSlots: report.slots ?? belief.reportedSlots,
+            slowdown: report.slowness ?? 1,
+            reportedSlots: report.slots ?? estimate.reportedSlots,
         };
 
-const afterSuccess = (
-    belief: UpstreamEstimate,
-    answer: { readonly atMs: number; readonly latencyMs: number; },
+const applySuccess = (
+    estimate: UpstreamEstimate,
+    response: { readonly atMs: number; readonly latencyMs: number; },
     options: EstimateOptions,
 ): UpstreamEstimate => {
-    const first = belief.lastResponseAtMs === undefined;
-    const latencyMs = first
-        ? answer.latencyMs
-        : belief.latencyMs + options.latencyAlpha * (answer.latencyMs - belief.latencyMs);
-    const failureRate = belief.failureRate * (1 - options.failureAlpha);
-    const limit = Math.min(options.maximumLimit, belief.limit + 1 / belief.limit);
-    const next = { ...belief, latencyMs, lastResponseAtMs: answer.atMs, failureRate, consecutiveFailures: 0, limit };
-    return belief.state === "suspect" && failureRate < recoveredFailureRate
-        ? { ...withState(next, "ready", answer.atMs), ejections: 0 }
+    const isFirst = estimate.lastResponseAtMs === undefined;
+    const latencyMs = isFirst
+        ? response.latencyMs
+        : estimate.latencyMs + options.latencyAlpha * (response.latencyMs - estimate.latencyMs);
+    const failureRate = estimate.failureRate * (1 - options.failureAlpha);
+    const limit = Math.min(options.maximumLimit, estimate.limit + 1 / estimate.limit);
+    const next = { ...estimate, latencyMs, lastResponseAtMs: response.atMs, failureRate, consecutiveFailures: 0, limit };
+    return estimate.state === "suspect" && failureRate < recoveredFailureRate
+        ? { ...withState(next, "ready", response.atMs), consecutiveEjections: 0 }
         : next;
 };
 
-const afterFailure = (
-    belief: UpstreamEstimate,
+const applyFailure = (
+    estimate: UpstreamEstimate,
     atMs: number,
     options: EstimateOptions,
     mayEject: () => boolean,
 ): UpstreamEstimate => {
-    const failureRate = belief.failureRate + options.failureAlpha * (1 - belief.failureRate);
-    const consecutiveFailures = belief.consecutiveFailures + 1;
-    const next = { ...belief, failureRate, consecutiveFailures };
+    const failureRate = estimate.failureRate + options.failureAlpha * (1 - estimate.failureRate);
+    const consecutiveFailures = estimate.consecutiveFailures + 1;
+    const next = { ...estimate, failureRate, consecutiveFailures };
     const tooMany = consecutiveFailures >= options.ejectAfterFailures || failureRate > options.ejectFailureRate;
-    const isTrial = belief.state === "suspect";
-    if (!(tooMany || isTrial) || belief.state === "ejected" || belief.state === "draining") {
+    const isSuspect = estimate.state === "suspect";
+    if (!(tooMany || isSuspect) || estimate.state === "ejected" || estimate.state === "draining") {
         return next;
     }
     if (!mayEject()) {
         return withState(next, "suspect", atMs);
     }
-    const ejections = belief.ejections + 1;
-    const ejectionMs = Math.min(options.maximumEjectionMs, options.ejectionMs * 2 ** (ejections - 1));
-    return { ...withState(next, "ejected", atMs), ejections, ejectedUntilMs: atMs + ejectionMs };
+    const consecutiveEjections = estimate.consecutiveEjections + 1;
+    const ejectionMs = Math.min(options.maximumEjectionMs, options.ejectionMs * 2 ** (consecutiveEjections - 1));
+    return { ...withState(next, "ejected", atMs), consecutiveEjections, ejectedUntilMs: atMs + ejectionMs };
 };
--- a/packages/decision/src/upstream-limits.ts
+++ b/packages/decision/src/upstream-limits.ts
@@ -1,45 +1,47 @@
 /**
- * How many requests a second upstreams say that they take from all instances together.
+ * The rate limits that upstreams announce for all instances together.
  *
- * Only some instances send to an upstream, and hear what it says; all have to know. So each word has a place in an order that no
- * way of a message changes, and the latest word wins wherever it is heard: any order and any number of deliveries ends in the same
- * state.
+ * Only some instances receive responses from an upstream, but all need its limit. Notices have a total order, and the latest
+ * one wins at every instance: any sequence of deliveries, with repetitions, ends in the same state.
  *
  * @packageDocumentation
  */
 
 import type { Clock, UpstreamId } from "@harrierhitch/core";
-import { ByStart, type UpstreamIncarnation } from "./incarnation-map.js";
+import { IncarnationMap, type UpstreamIncarnation } from "./incarnation-map.js";
 
-/** One word of an upstream on how much it takes. */
+/** A notice of an upstream about its rate limit. */
 export interface LimitNotice {
-    /** Requests a second from all instances together; `undefined` once it names no limit any more. */
+    /** Requests per second from all instances together; `undefined` if it no longer announces a limit. */
     readonly perSecond: number | undefined;
-    /** When this limit was first named, in milliseconds since the Unix epoch. */
+    /** When this limit was first announced, in milliseconds since the Unix epoch. */
     readonly sinceUnixMs: number;
-    /** Its place in the order: later than every word that the instance which heard it knew, and its time of day at least. */
+    /**
+     * Position in the order of notices: the wall clock of the receiving instance, and later than every notice that it had
+     * stored.
+     */
     readonly saidAtUnixMs: number;
-    /** Id of the instance that heard it from the upstream. */
+    /** Id of the instance that received it from the upstream. */
     readonly heardBy: string;
 }
 
-/** A word with the start that gave it. */
+/** A notice with the upstream and incarnation that sent it. */
 export interface UpstreamLimitNotice {
     readonly upstream: UpstreamId;
-    /** When the start began, in milliseconds since the Unix epoch; 0 when it is not known. */
+    /** When the incarnation began, in milliseconds since the Unix epoch; 0 if unknown. */
     readonly startedAtMs: number;
     readonly notice: LimitNotice;
 }
 
-/** A limit as this instance knows it. */
+/** A limit as this instance stores it. */
 export interface StoredLimit extends LimitNotice {
-    /** When it was last heard of, on this instance's clock. */
+    /** When it was last received, on this instance's clock. */
     readonly receivedAtMs: number;
 }
 
-/** A limit that came, changed or went. */
+/** A limit that was added, changed or removed. */
 export interface LimitChange extends UpstreamLimitNotice {
-    /** The limit before; `undefined` where there was none. */
+    /** The previous limit; `undefined` if there was none. */
     readonly before: number | undefined;
 }
 
@@ -48,135 +50,139 @@
     readonly clock: Clock;
     /** Id of this instance. */
     readonly instance: string;
-    /** Told of each change, whoever heard it. */
+    /** Called when a limit changes, whichever instance received it. */
     readonly onChange?: (change: LimitChange) => void;
 }
 
-interface Recent {
-    readonly told: UpstreamLimitNotice;
-    readonly takenAtMs: number;
-    /** Whether it changed a limit, and does not only confirm it. */
+interface RecentNotice {
+    readonly notice: UpstreamLimitNotice;
+    readonly storedAtMs: number;
+    /** Whether it changes a limit, instead of only confirming it. */
     readonly isChange: boolean;
 }
 
-/** Time for which a word is passed on, in milliseconds: longer than any exchange takes to reach everyone. */
-const passOnMs = 10_000;
+/** Time for which a notice is sent with every exchange, in milliseconds: longer than gossip takes to reach all members. */
+const gossipMs = 10_000;
 
-/** The same in exchanges that are to be brief. */
-const passOnBrieflyMs = 3000;
+/** The same for delta exchanges. */
+const deltaGossipMs = 3000;
 
-/** Most words in one exchange, which bounds their bytes; the latest go first. */
-const maximumTold = 64;
+/** Most notices in one exchange, which limits its size; the latest go first. */
+const maximumNoticesSent = 64;
 
-/** Time after which a limit that still holds is told again, in milliseconds, so that others know that someone hears of it. */
-const confirmMs = 8000;
+/**
+ * Time after which a limit that still applies is sent again, in milliseconds, so that other instances know that someone still
+ * receives it.
+ */
+const confirmIntervalMs = 8000;
 
-/** Change of a limit, as a share, that others need not hear of before the next exchange. */
+/** Relative change of a limit that can wait for the next exchange. */
 const slightChange = 0.1;
 
-/** Keeps what upstreams said last. */
+/** Stores the last rate limit that each upstream announced. */
 export class UpstreamLimits {
-    private readonly limits: ByStart<StoredLimit>;
-    private readonly recent = new Map<UpstreamId, Recent>();
+    private readonly limits: IncarnationMap<StoredLimit>;
+    private readonly recent = new Map<UpstreamId, RecentNotice>();
 
-    /** @param options - Clock, this instance and listener. */
+    /** @param options - The clock, this instance and the listener. */
     constructor(private readonly options: UpstreamLimitsOptions) {
-        // A limit whose start is not named ends by an answer without it, never by time: all would return at one moment.
-        this.limits = new ByStart({ clock: options.clock, lastsUntilMs: () => Infinity });
+        // A limit ends with a response without it, never by time: otherwise all instances would start sending at the same
+        // moment.
+        this.limits = new IncarnationMap({ clock: options.clock, lastsUntilMs: () => Infinity });
     }
 
-    /** Whether no upstream has ever said anything of it. */
+    /** Whether no upstream has ever announced a limit. */
     get isEmpty(): boolean {
         return this.limits.isEmpty;
     }
 
-    /** The limit that binds a start; `undefined` where it has named none, or names none any more. */
-    find(start: UpstreamIncarnation): StoredLimit & { readonly perSecond: number; } | undefined {
-        const known = this.limits.find(start);
-        return known?.perSecond === undefined ? undefined : { ...known, perSecond: known.perSecond };
+    /** Returns the limit that applies to an incarnation; `undefined` if it announces none. */
+    find(incarnation: UpstreamIncarnation): StoredLimit & { readonly perSecond: number; } | undefined {
+        const stored = this.limits.find(incarnation);
+        return stored?.perSecond === undefined ? undefined : { ...stored, perSecond: stored.perSecond };
     }
 
     /**
-     * Takes in what an answer of an upstream says. An answer to a request from before its limit was last heard of may be older
-     * than that: it lowers the limit only.
+     * Records what a response states of the limit. A response to a request that was sent before the last notice arrived may be
+     * outdated, so it can only lower the limit.
      *
-     * @param start - The start that answered.
-     * @param perSecond - The limit that it named; `undefined` where it named none.
+     * @param incarnation - The incarnation that responded.
+     * @param perSecond - The limit that it announced; `undefined` without one.
      * @param sentAtMs - When the request was sent, on this instance's clock.
-     * @returns Whether others should hear of it at once.
+     * @returns Whether to send the change to other instances at once.
      */
-    record(start: UpstreamIncarnation, perSecond: number | undefined, sentAtMs: number): boolean {
+    record(incarnation: UpstreamIncarnation, perSecond: number | undefined, sentAtMs: number): boolean {
         const { clock, instance } = this.options;
-        const known = this.limits.find(start);
-        const before = known?.perSecond;
-        const saidAtUnixMs = Math.max(Math.floor(clock.wallMs()), (known?.saidAtUnixMs ?? 0) + 1);
-        if (perSecond === before) {
-            return known !== undefined && before !== undefined && this.confirm(start, known, saidAtUnixMs);
+        const stored = this.limits.find(incarnation);
+        const previous = stored?.perSecond;
+        const saidAtUnixMs = Math.max(Math.floor(clock.wallMs()), (stored?.saidAtUnixMs ?? 0) + 1);
+        if (perSecond === previous) {
+            return stored !== undefined && previous !== undefined && this.confirm(incarnation, stored, saidAtUnixMs);
         }
-        const isLower = perSecond !== undefined && perSecond < (before ?? Infinity);
-        const isStale = known !== undefined && sentAtMs < known.receivedAtMs;
+        const isLower = perSecond !== undefined && perSecond < (previous ?? Infinity);
+        const isStale = stored !== undefined && sentAtMs < stored.receivedAtMs;
         return (isLower || !isStale)
-            && this.take(start, { perSecond, sinceUnixMs: saidAtUnixMs, saidAtUnixMs, heardBy: instance });
+            && this.store(incarnation, { perSecond, sinceUnixMs: saidAtUnixMs, saidAtUnixMs, heardBy: instance });
     }
 
     /**
-     * Takes in what other instances heard.
+     * Merges notices that other instances received; a notice that is not later than the stored one is ignored.
      *
-     * @param words - What they heard.
-     * @returns Whether others should hear of any of it at once.
+     * @param notices - The notices.
+     * @returns Whether to send any of them to other instances at once.
      */
-    merge(words: readonly UpstreamLimitNotice[]): boolean {
-        return words.map(({ upstream, startedAtMs, notice: word }) => {
-            const start = { id: upstream, startedAtMs };
-            const known = this.limits.find(start);
-            return (known === undefined || isLater(word, known)) && this.take(start, word);
+    merge(notices: readonly UpstreamLimitNotice[]): boolean {
+        return notices.map(({ upstream, startedAtMs, notice }) => {
+            const incarnation = { id: upstream, startedAtMs };
+            const stored = this.limits.find(incarnation);
+            return (stored === undefined || isLater(notice, stored)) && this.store(incarnation, notice);
         }).includes(true);
     }
 
     /**
-     * What others should hear.
+     * Returns the notices to send to peers.
      *
-     * @param isBrief - Whether to leave out what is not just new.
+     * @param isDelta - Whether to omit all but the newest changes.
      */
-    recentEntries(isBrief: boolean): readonly UpstreamLimitNotice[] {
+    recentEntries(isDelta: boolean): readonly UpstreamLimitNotice[] {
         const nowMs = this.options.clock.nowMs();
-        [...this.recent].filter(([, { takenAtMs }]) => nowMs - takenAtMs >= passOnMs).forEach(([id]) => this.recent.delete(id));
+        [...this.recent].filter(([, { storedAtMs }]) => nowMs - storedAtMs >= gossipMs).forEach(([id]) => this.recent.delete(id));
         return [...this.recent.values()]
-            .filter(({ takenAtMs, isChange }) => !isBrief || isChange && nowMs - takenAtMs < passOnBrieflyMs)
-            .sort((a, b) => b.takenAtMs - a.takenAtMs)
-            .slice(0, maximumTold)
-            .map(({ told }) => told);
+            .filter(({ storedAtMs, isChange }) => !isDelta || isChange && nowMs - storedAtMs < deltaGossipMs)
+            .sort((a, b) => b.storedAtMs - a.storedAtMs)
+            .slice(0, maximumNoticesSent)
+            .map(({ notice: upstreamNotice }) => upstreamNotice);
     }
 
-    /** Notes that a limit still holds, and tells the others now and then. */
-    private confirm(start: UpstreamIncarnation, known: StoredLimit, saidAtUnixMs: number): boolean {
+    /** Records that a limit still applies, and sends that to the other instances at intervals. */
+    private confirm(incarnation: UpstreamIncarnation, stored: StoredLimit, saidAtUnixMs: number): boolean {
         const { clock, instance } = this.options;
-        if (saidAtUnixMs - known.saidAtUnixMs >= confirmMs) {
-            return this.take(start, { ...known, saidAtUnixMs, heardBy: instance });
+        if (saidAtUnixMs - stored.saidAtUnixMs >= confirmIntervalMs) {
+            return this.store(incarnation, { ...stored, saidAtUnixMs, heardBy: instance });
         }
-        this.limits.put(start, known.saidAtUnixMs, () => ({ ...known, receivedAtMs: clock.nowMs() }));
+        this.limits.put(incarnation, stored.saidAtUnixMs, () => ({ ...stored, receivedAtMs: clock.nowMs() }));
         return false;
     }
 
-    private take(start: UpstreamIncarnation, word: LimitNotice): boolean {
+    private store(incarnation: UpstreamIncarnation, notice: LimitNotice): boolean {
         const { clock, onChange } = this.options;
-        const { perSecond, sinceUnixMs, saidAtUnixMs, heardBy } = word;
-        const { id: upstream, startedAtMs = 0 } = start;
-        const before = this.limits.find(start)?.perSecond;
-        const takenAtMs = clock.nowMs();
-        const told = { upstream, startedAtMs, notice: { perSecond, sinceUnixMs, saidAtUnixMs, heardBy } };
-        const isChange = perSecond !== before;
-        this.limits.put(start, saidAtUnixMs, () => ({ ...told.notice, receivedAtMs: takenAtMs }));
-        this.recent.set(upstream, { told, takenAtMs, isChange });
+        const { perSecond, sinceUnixMs, saidAtUnixMs, heardBy } = notice;
+        const { id: upstream, startedAtMs = 0 } = incarnation;
+        const previous = this.limits.find(incarnation)?.perSecond;
+        const storedAtMs = clock.nowMs();
+        const upstreamNotice = { upstream, startedAtMs, notice: { perSecond, sinceUnixMs, saidAtUnixMs, heardBy } };
+        const isChange = perSecond !== previous;
+        this.limits.put(incarnation, saidAtUnixMs, () => ({ ...upstreamNotice.notice, receivedAtMs: storedAtMs }));
+        this.recent.set(upstream, { notice: upstreamNotice, storedAtMs, isChange });
         if (isChange) {
-            onChange?.({ ...told, before });
+            onChange?.({ ...upstreamNotice, before: previous });
         }
-        return isChange && !isSlight(before, perSecond);
+        return isChange && !isSlightChange(previous, perSecond);
     }
 }
 
-const isLater = (word: LimitNotice, known: LimitNotice): boolean =>
-    word.saidAtUnixMs > known.saidAtUnixMs || word.saidAtUnixMs === known.saidAtUnixMs && word.heardBy > known.heardBy;
+const isLater = (notice: LimitNotice, stored: LimitNotice): boolean =>
+    notice.saidAtUnixMs > stored.saidAtUnixMs || notice.saidAtUnixMs === stored.saidAtUnixMs && notice.heardBy > stored.heardBy;
 
-const isSlight = (before: number | undefined, after: number | undefined): boolean =>
-    before !== undefined && after !== undefined && Math.abs(after - before) <= before * slightChange;
+const isSlightChange = (previous: number | undefined, after: number | undefined): boolean =>
+    previous !== undefined && after !== undefined && Math.abs(after - previous) <= previous * slightChange;
--- a/packages/decision/src/upstream-notices.ts
+++ b/packages/decision/src/upstream-notices.ts
@@ -1,16 +1,16 @@
 /**
- * Departures and rests that upstreams told of one start of theirs.
+ * Draining and backoff notices that upstreams sent about one incarnation.
  *
  * @packageDocumentation
  */
 
 import type { Clock } from "@harrierhitch/core";
-import { ByStart, type UpstreamIncarnation } from "./incarnation-map.js";
+import { IncarnationMap, type UpstreamIncarnation } from "./incarnation-map.js";
 
-interface Notice {
-    readonly isLeaving: boolean;
-    /** Until when it wants nothing from this instance, on its clock; 0 without a rest. */
-    readonly restUntilMs: number;
+interface StoredNotices {
+    readonly isDraining: boolean;
+    /** End of its backoff, on this instance's clock; 0 without one. */
+    readonly backoffUntilMs: number;
 }
 
 /** Options of {@link UpstreamNotices}. */
@@ -18,49 +18,50 @@
     readonly clock: Clock;
 }
 
-const nothing: Notice = { isLeaving: false, restUntilMs: 0 };
+const noNotices: StoredNotices = { isDraining: false, backoffUntilMs: 0 };
 
-/** Remembers, for each upstream, what binds this instance until another start of it is known. */
+/** Stores the notices of each upstream until another incarnation of it is known. */
 export class UpstreamNotices {
-    private readonly notices: ByStart<Notice>;
+    private readonly notices: IncarnationMap<StoredNotices>;
 
     /** @param options - The clock. */
     constructor(private readonly options: UpstreamNoticesOptions) {
-        this.notices = new ByStart({ ...options, lastsUntilMs: ({ restUntilMs }) => restUntilMs });
+        this.notices = new IncarnationMap({ ...options, lastsUntilMs: ({ backoffUntilMs }) => backoffUntilMs });
     }
 
     /**
-     * Notes that a start leaves; one that does never takes work again.
+     * Records that an incarnation is draining; it never accepts new requests again.
      *
-     * @param start - The start.
-     * @param saidAtUnixMs - When the upstream said so itself, in milliseconds since the Unix epoch; 0 where others told.
+     * @param incarnation - The incarnation.
+     * @param saidAtUnixMs - When the upstream itself sent the notice, in milliseconds since the Unix epoch; 0 if others
+     *   reported it.
      */
-    recordDraining(start: UpstreamIncarnation, saidAtUnixMs: number): void {
-        this.notices.put(start, saidAtUnixMs, (before = nothing) => ({ ...before, isLeaving: true }));
+    recordDraining(incarnation: UpstreamIncarnation, saidAtUnixMs: number): void {
+        this.notices.put(incarnation, saidAtUnixMs, (previous = noNotices) => ({ ...previous, isDraining: true }));
     }
 
-    /** Whether a start leaves. */
-    isDraining(start: UpstreamIncarnation): boolean {
-        return this.notices.find(start)?.isLeaving === true;
+    /** Whether an incarnation is draining. */
+    isDraining(incarnation: UpstreamIncarnation): boolean {
+        return this.notices.find(incarnation)?.isDraining === true;
     }
 
     /**
-     * Notes that a start wants nothing from this instance for a while; a rest that was asked for before is not cut short.
+     * Records that an incarnation asked for a backoff; an earlier backoff is not shortened.
      *
-     * @param start - The start.
-     * @param saidAtUnixMs - When it said so, in milliseconds since the Unix epoch.
-     * @param restMs - For how long, from now.
+     * @param incarnation - The incarnation.
+     * @param saidAtUnixMs - When it sent the notice, in milliseconds since the Unix epoch.
+     * @param backoffMs - Duration of the backoff, from now.
      */
-    recordBackoff(start: UpstreamIncarnation, saidAtUnixMs: number, restMs: number): void {
-        const untilMs = this.options.clock.nowMs() + restMs;
-        this.notices.put(start, saidAtUnixMs, (before = nothing) => ({
-            ...before,
-            restUntilMs: Math.max(untilMs, before.restUntilMs),
+    recordBackoff(incarnation: UpstreamIncarnation, saidAtUnixMs: number, backoffMs: number): void {
+        const untilMs = this.options.clock.nowMs() + backoffMs;
+        this.notices.put(incarnation, saidAtUnixMs, (previous = noNotices) => ({
+            ...previous,
+            backoffUntilMs: Math.max(untilMs, previous.backoffUntilMs),
         }));
     }
 
-    /** Milliseconds for which a start wants nothing from this instance; 0 when it takes requests. */
-    remainingBackoffMs(start: UpstreamIncarnation): number {
-        return Math.max(0, (this.notices.find(start)?.restUntilMs ?? 0) - this.options.clock.nowMs());
+    /** Returns the milliseconds until the backoff of an incarnation ends; 0 when it accepts requests. */
+    remainingBackoffMs(incarnation: UpstreamIncarnation): number {
+        return Math.max(0, (this.notices.find(incarnation)?.backoffUntilMs ?? 0) - this.options.clock.nowMs());
     }
 }
--- a/packages/decision/src/upstream-tracker-options.ts
+++ b/packages/decision/src/upstream-tracker-options.ts
@@ -1,5 +1,5 @@
 /**
- * Options of a service's beliefs.
+ * Options of the upstream tracker.
  *
  * @packageDocumentation
  */
@@ -12,32 +12,35 @@
 import { UpstreamLimits } from "./upstream-limits.js";
 import { UpstreamNotices } from "./upstream-notices.js";
 
-/** Options of `ServiceBeliefs`. */
+/** Options of `UpstreamTracker`. */
 export interface UpstreamTrackerOptions {
     readonly clock: Clock;
     readonly availabilityZone: string;
-    /** How beliefs change; the defaults suit upstreams with a few slots. */
-    readonly belief?: Partial<EstimateOptions>;
+    /** Parameters of estimates; the defaults suit upstreams with a few slots. */
+    readonly estimate?: Partial<EstimateOptions>;
     /** Most upstreams that may be ejected at the same time, as a share. */
     readonly maximumEjectedShare?: number;
-    /** Told of every change of an upstream's state. */
+    /** Called when the state of an upstream changes. */
     readonly onStateChange?: (upstream: UpstreamEntry, before: UpstreamEstimate, after: UpstreamEstimate) => void;
-    /** Admits requests to cold upstreams; everything is admitted without it. */
+    /** Admits requests to cold upstreams; by default all are admitted. */
     readonly coldAdmission?: ColdAdmission;
-    /** What upstreams told of themselves, shared by all services of an instance, since it outlives entries and services. */
+    /**
+     * Notices of upstreams about themselves, shared by all services of an instance, because they outlive directory entries and
+     * services.
+     */
     readonly notices?: UpstreamNotices;
-    /** How many requests a second upstreams say that they take, shared in the same way. */
+    /** Announced rate limits, shared in the same way. */
     readonly limits?: UpstreamLimits;
-    /** Admits requests to those; without it this instance takes all that they take. */
+    /** Admits requests to upstreams with a rate limit; by default this instance uses the full limit. */
     readonly limitAdmission?: LimitAdmission;
-    /** Told that an upstream said something that other instances should hear at once. */
+    /** Called when an upstream sent a notice that other instances should receive at once. */
     readonly onUrgentNotice?: () => void;
 }
 
 const defaultEjectedShare = 0.34;
 
-/** The options with defaults for those that are left out. */
-export const withDefaults = (options: UpstreamTrackerOptions): Required<Omit<UpstreamTrackerOptions, "belief">> => {
+/** Returns the options with defaults for those that are absent. */
+export const withDefaults = (options: UpstreamTrackerOptions): Required<Omit<UpstreamTrackerOptions, "estimate">> => {
     const { clock } = options;
     const limits = options.limits ?? new UpstreamLimits({ clock, instance: "" });
     return {
--- a/packages/decision/src/upstream-tracker.ts
+++ b/packages/decision/src/upstream-tracker.ts
@@ -1,5 +1,5 @@
 /**
- * What one instance believes of all upstreams of a service.
+ * The upstreams of a service as one instance tracks them.
  *
  * @packageDocumentation
  */
@@ -9,8 +9,8 @@
 import type { UpstreamFacts } from "@harrierhitch/policy";
 import { Admission } from "./admission.js";
 import type { Observation } from "./observation.js";
-import { concerns, isWord, remember } from "./record-notice.js";
-import { consider } from "./select-candidates.js";
+import { appliesTo, isNotice, recordNotice } from "./record-notice.js";
+import { selectCandidates } from "./select-candidates.js";
 import {
     initialLoadModel,
     residenceMsOf,
@@ -19,36 +19,48 @@
     updateFromReport,
     updateFromResponse,
 } from "./service-load-model.js";
-import { track } from "./track-upstream.js";
-import { type InFlightRequest, mayEject, readingOf, toFacts, type Tracked, type UpstreamEntry } from "./tracked-upstream.js";
+import { trackUpstream } from "./track-upstream.js";
+import {
+    type InFlightRequest,
+    lastReportOf,
+    mayEject,
+    toFacts,
+    type TrackedUpstream,
+    type UpstreamEntry,
+} from "./tracked-upstream.js";
 import type { UpstreamWait } from "./upstream-backoff.js";
-import { atTime, defaultEstimateOptions, type EstimateOptions, update, type UpstreamEstimate } from "./upstream-estimate.js";
+import {
+    applyObservation,
+    atTime,
+    defaultEstimateOptions,
+    type EstimateOptions,
+    type UpstreamEstimate,
+} from "./upstream-estimate.js";
 import { type UpstreamTrackerOptions, withDefaults } from "./upstream-tracker-options.js";
 
-/** Keeps the beliefs about a service's upstreams and their requests in flight. */
+/** Tracks the estimates of a service's upstreams and the requests in flight to them. */
 export class UpstreamTracker {
-    private readonly options: Required<Omit<UpstreamTrackerOptions, "belief">>;
-    private belief: EstimateOptions;
-    private tracked = new Map<UpstreamId, Tracked>();
-    private dynamics: ServiceLoadModel = initialLoadModel;
+    private readonly options: Required<Omit<UpstreamTrackerOptions, "estimate">>;
+    private estimateOptions: EstimateOptions;
+    private tracked = new Map<UpstreamId, TrackedUpstream>();
+    private loadModel: ServiceLoadModel = initialLoadModel;
     private readonly admission: Admission;
-    /** The request that finds out how a fuller upstream does; only one at a time does, since many would fill them all. */
-    private trial: InFlightRequest | undefined;
+    /** The request that explores a fuller upstream; only one at a time, because many would overload it. */
+    private exploration: InFlightRequest | undefined;
 
-    /** @param options - Clock, place and limits. */
+    /** @param options - Clock, location and limits. */
     constructor(options: UpstreamTrackerOptions) {
         this.options = withDefaults(options);
-        this.belief = { ...defaultEstimateOptions, ...options.belief };
+        this.estimateOptions = { ...defaultEstimateOptions, ...options.estimate };
         this.admission = new Admission(this.options);
     }
 
     /**
-     * Takes over the upstreams of a newly accepted configuration. Beliefs about
-     * upstreams that stay are kept; one that has started again is believed nothing of.
+     * Applies a new configuration. Estimates of upstreams that stay are retained; a new incarnation starts without any.
      *
      * @param service - The service as configured.
-     * @param maximumInstances - Most entry instances, which share the connections to an upstream.
-     * @param upstreams - Its upstreams, where others than the configured ones are known.
+     * @param maximumInstances - Most instances, which share the connections to an upstream.
+     * @param upstreams - Its upstreams, if they differ from the configured ones.
      */
     configure(
         service: Pick<Service, "upstreams" | "maximumConnections" | "coldRequestsPerSecond">,
@@ -56,106 +68,108 @@
         upstreams: readonly UpstreamEntry[] = service.upstreams,
     ): void {
         const maximumLimit = Math.max(1, Math.floor(service.maximumConnections / maximumInstances));
-        this.belief = { ...this.belief, maximumLimit };
+        this.estimateOptions = { ...this.estimateOptions, maximumLimit };
         this.admission.coldRequestsPerSecond = service.coldRequestsPerSecond;
         const isFirst = this.tracked.size === 0;
         const nowMs = this.options.clock.nowMs();
-        const options = { belief: this.belief, nowMs, isFirst, notices: this.options.notices };
-        this.tracked = new Map(upstreams.map(upstream => [upstream.id, track(upstream, this.tracked.get(upstream.id), options)]));
+        const options = { estimate: this.estimateOptions, nowMs, isFirst, notices: this.options.notices };
+        this.tracked = new Map(
+            upstreams.map(upstream => [upstream.id, trackUpstream(upstream, this.tracked.get(upstream.id), options)]),
+        );
     }
 
-    /** Notes that a request is sent to an upstream. */
+    /** Records that a request is sent to an upstream. */
     startRequest(upstream: UpstreamId): InFlightRequest {
-        const flight: InFlightRequest = { upstream, sentAtMs: this.options.clock.nowMs() };
+        const request: InFlightRequest = { upstream, sentAtMs: this.options.clock.nowMs() };
         const tracked = this.tracked.get(upstream);
-        if (tracked !== undefined && this.isFullerThanKnown(tracked)) {
-            this.trial ??= flight;
+        if (tracked !== undefined && this.exceedsOptimalConcurrency(tracked)) {
+            this.exploration ??= request;
         }
         if (tracked !== undefined) {
-            tracked.flights.add(flight);
-            this.admission.noteSent(tracked, flight);
+            tracked.inFlightRequests.add(request);
+            this.admission.recordSent(tracked, request);
         }
-        this.observe(upstream, { type: "started", atMs: flight.sentAtMs });
-        return flight;
+        this.observe(upstream, { type: "started", atMs: request.sentAtMs });
+        return request;
     }
 
-    /** Notes that a request is no longer in flight. */
-    finishRequest(flight: InFlightRequest): void {
-        this.tracked.get(flight.upstream)?.flights.delete(flight);
-        this.trial = this.trial === flight ? undefined : this.trial;
+    /** Records that a request is no longer in flight. */
+    finishRequest(request: InFlightRequest): void {
+        this.tracked.get(request.upstream)?.inFlightRequests.delete(request);
+        this.exploration = this.exploration === request ? undefined : this.exploration;
     }
 
     /**
-     * Takes in an observation; one about an upstream that is not configured, or about another start of it, is dropped.
+     * Applies an observation. One of an unknown upstream or of another incarnation is ignored.
      *
      * @param upstream - The upstream.
-     * @param observation - What was learned.
-     * @param startedAtMs - The start that it was learned of, in milliseconds since the Unix epoch; 0 when it is not known.
+     * @param observation - What was observed.
+     * @param startedAtMs - The incarnation, in milliseconds since the Unix epoch; 0 if unknown.
      */
     observe(upstream: UpstreamId, observation: Observation, startedAtMs = 0): void {
         const tracked = this.tracked.get(upstream);
-        if (isWord(observation) && remember(this.options, { id: upstream, startedAtMs }, observation, tracked)) {
+        if (isNotice(observation) && recordNotice(this.options, { id: upstream, startedAtMs }, observation, tracked)) {
             this.options.onUrgentNotice();
         }
-        if (tracked === undefined || !concerns(this.options, tracked, observation, startedAtMs)) {
+        if (tracked === undefined || !appliesTo(this.options, tracked, observation, startedAtMs)) {
             return;
         }
-        // An ejection may have run out since anyone looked; the observation then belongs to the trial after it.
-        const belief = atTime(tracked.belief, this.options.clock.nowMs());
-        const next = update(
-            belief,
+        // The ejection may have expired in the meantime; the observation then belongs to the state `suspect`.
+        const estimate = atTime(tracked.estimate, this.options.clock.nowMs());
+        const next = applyObservation(
+            estimate,
             observation,
-            this.belief,
+            this.estimateOptions,
             () => mayEject([...this.tracked.values()], this.options.maximumEjectedShare),
         );
-        const report = readingOf(tracked.upstream, next);
-        if (report !== undefined && report.atMs !== belief.reportedAtMs) {
-            this.dynamics = updateFromReport(this.dynamics, report, readingOf(tracked.upstream, belief));
+        const report = lastReportOf(tracked.upstream, next);
+        if (report !== undefined && report.atMs !== estimate.reportedAtMs) {
+            this.loadModel = updateFromReport(this.loadModel, report, lastReportOf(tracked.upstream, estimate));
         }
         this.replace(tracked, next);
     }
 
-    /** Takes in how long the work of an answered request took, against what was expected when it was sent. */
-    recordResponse(work: ResponseSample): void {
-        this.dynamics = updateFromResponse(this.dynamics, work);
+    /** Records the service time of a response, with what was predicted when its request was sent. */
+    recordResponse(sample: ResponseSample): void {
+        this.loadModel = updateFromResponse(this.loadModel, sample);
     }
 
-    /** Whether a request may find out how a fuller upstream does. */
+    /** Whether a request may explore a fuller upstream. */
     get mayExplore(): boolean {
-        return this.trial === undefined;
+        return this.exploration === undefined;
     }
 
     /**
-     * The facts of all upstreams, in the order of the configuration.
+     * Returns the facts of all upstreams, in the order of the configuration.
      *
-     * @param isTrial - Whether to take fuller upstreams for as good as others where too little is known of them.
+     * @param isExploration - Whether to assume no contention where it is unknown.
      */
-    facts(isTrial = false): readonly UpstreamFacts[] {
-        return [...this.tracked.values()].map(tracked => this.factsNow(tracked, isTrial));
+    facts(isExploration = false): readonly UpstreamFacts[] {
+        return [...this.tracked.values()].map(tracked => this.factsNow(tracked, isExploration));
     }
 
     /**
-     * The facts of some upstreams, as {@link facts} gives those of all; one that is gone is left out.
+     * Returns the facts of some upstreams, as {@link facts} does for all; unknown ids are omitted.
      *
      * @param ids - The upstreams.
-     * @param isTrial - As for {@link facts}.
+     * @param isExploration - As for {@link facts}.
      */
-    factsOf(ids: readonly UpstreamId[], isTrial = false): readonly UpstreamFacts[] {
-        return ids.flatMap(id => this.tracked.get(id) ?? []).map(tracked => this.factsNow(tracked, isTrial));
+    factsOf(ids: readonly UpstreamId[], isExploration = false): readonly UpstreamFacts[] {
+        return ids.flatMap(id => this.tracked.get(id) ?? []).map(tracked => this.factsNow(tracked, isExploration));
     }
 
     /**
-     * The upstreams that one decision looks at: all where they are few, or few of them may be chosen.
+     * Selects the upstreams that one decision evaluates: all if there are few, or if few of them are eligible.
      *
      * @param tried - Those that the request has tried.
-     * @param draw - Gives random numbers of at least 0 and below 1.
+     * @param draw - Returns random numbers of at least 0 and below 1.
      */
     selectCandidates(tried: readonly UpstreamId[], draw: () => number): readonly UpstreamId[] {
         const nowMs = this.options.clock.nowMs();
-        return consider([...this.tracked.values()], {
+        return selectCandidates([...this.tracked.values()], {
             nowMs,
             availabilityZone: this.options.availabilityZone,
-            mayBeChosen: tracked => !tried.includes(tracked.upstream.id) && this.admission.mayBeChosen(tracked, nowMs),
+            isEligible: tracked => !tried.includes(tracked.upstream.id) && this.admission.isEligible(tracked, nowMs),
             draw,
         });
     }
@@ -165,51 +179,51 @@
         return [...this.tracked.values()].map(tracked => tracked.upstream);
     }
 
-    /** One of the upstreams. */
+    /** Returns one of the upstreams. */
     find(upstream: UpstreamId): UpstreamEntry | undefined {
         return this.tracked.get(upstream)?.upstream;
     }
 
-    /** Whether a start of an upstream may still get requests of this instance: it is there, stays, and does not rest. */
+    /** Whether an incarnation may still receive requests of this instance: it is tracked, not draining and not backing off. */
     acceptsRequests(upstream: UpstreamEntry): boolean {
-        return this.admission.takes(this.tracked.get(upstream.id), upstream);
+        return this.admission.accepts(this.tracked.get(upstream.id), upstream);
     }
 
-    /** Whether one more request of this instance may go to a start of an upstream now, which may be cold, or name a limit. */
+    /** Whether one more request may go to an incarnation now, with regard to cold start and rate limit. */
     admits(upstream: UpstreamEntry): boolean {
         const tracked = this.tracked.get(upstream.id);
-        return this.admission.takes(tracked, upstream) && this.admission.admits(tracked);
+        return this.admission.accepts(tracked, upstream) && this.admission.admits(tracked);
     }
 
-    /** Whether a request that was chosen for a start of an upstream, and waited for its connection, may be sent now. */
-    maySend(upstream: UpstreamEntry, flight: InFlightRequest): boolean {
+    /** Whether a request that was waiting for its connection may be sent to an incarnation now. */
+    maySend(upstream: UpstreamEntry, request: InFlightRequest): boolean {
         const tracked = this.tracked.get(upstream.id);
-        return this.admission.takes(tracked, upstream) && this.admission.mayBegin(tracked, flight);
+        return this.admission.accepts(tracked, upstream) && this.admission.maySend(tracked, request);
     }
 
-    /** For how long each upstream takes nothing from this instance, with its state. */
+    /** How long each upstream accepts nothing from this instance, with its state. */
     get upstreamWaits(): readonly UpstreamWait[] {
         return [...this.tracked.values()].map(tracked => this.admission.waitOf(tracked));
     }
 
-    /** This instance's even part of what all upstreams that name a limit take, in requests a second; `undefined` without any. */
+    /** This instance's even share of all announced rate limits, in requests per second; `undefined` without any. */
     get permittedPerSecond(): number | undefined {
-        return this.admission.limitedPerSecond(this.upstreams);
+        return this.admission.permittedPerSecond(this.upstreams);
     }
 
-    /** When an upstream last reported its load; `undefined` if it never did. */
+    /** Returns when an upstream last reported its load; `undefined` if it never did. */
     lastReportAtMs(upstream: UpstreamId): number | undefined {
-        return this.tracked.get(upstream)?.belief.reportedAtMs;
+        return this.tracked.get(upstream)?.estimate.reportedAtMs;
     }
 
-    /** Time for which a request stays at an upstream, on average, in milliseconds. */
+    /** Average time for which a request is in flight, in milliseconds. */
     get residenceMs(): number {
-        return residenceMsOf(this.dynamics);
+        return residenceMsOf(this.loadModel);
     }
 
-    /** All requests in flight. */
+    /** Number of requests in flight. */
     get inFlight(): number {
-        return [...this.tracked.values()].reduce((sum, tracked) => sum + tracked.flights.size, 0);
+        return [...this.tracked.values()].reduce((sum, tracked) => sum + tracked.inFlightRequests.size, 0);
     }
 
     /** Number of upstreams. */
@@ -217,34 +231,34 @@
         return this.tracked.size;
     }
 
-    private isFullerThanKnown(tracked: Tracked): boolean {
+    private exceedsOptimalConcurrency(tracked: TrackedUpstream): boolean {
         const { expectedInFlight, bestInFlight } = this.toFacts(tracked, false);
         return expectedInFlight + 1 > bestInFlight;
     }
 
-    private factsNow(tracked: Tracked, isTrial: boolean): UpstreamFacts {
-        this.replace(tracked, atTime(tracked.belief, this.options.clock.nowMs()));
-        return this.toFacts(tracked, isTrial);
+    private factsNow(tracked: TrackedUpstream, isExploration: boolean): UpstreamFacts {
+        this.replace(tracked, atTime(tracked.estimate, this.options.clock.nowMs()));
+        return this.toFacts(tracked, isExploration);
     }
 
-    private toFacts(tracked: Tracked, isTrial: boolean): UpstreamFacts {
+    private toFacts(tracked: TrackedUpstream, isExploration: boolean): UpstreamFacts {
         const { clock, availabilityZone } = this.options;
         return toFacts(tracked, {
-            dynamics: this.dynamics,
+            loadModel: this.loadModel,
             nowMs: clock.nowMs(),
             availabilityZone,
-            isTrial,
+            isExploration,
             isAdmitted: this.admission.admits(tracked),
-            restMs: this.admission.restMs(tracked.upstream),
+            backoffMs: this.admission.backoffMs(tracked.upstream),
             pace: this.admission.paceOf(tracked.upstream),
         });
     }
 
-    private replace(tracked: Tracked, belief: UpstreamEstimate): void {
-        const before = tracked.belief;
-        tracked.belief = belief;
-        if (before.state !== belief.state) {
-            this.options.onStateChange(tracked.upstream, before, belief);
+    private replace(tracked: TrackedUpstream, estimate: UpstreamEstimate): void {
+        const previous = tracked.estimate;
+        tracked.estimate = estimate;
+        if (previous.state !== estimate.state) {
+            this.options.onStateChange(tracked.upstream, previous, estimate);
         }
     }
 }
--- a/packages/decision/test/empty-upstream.test.ts
+++ b/packages/decision/test/empty-upstream.test.ts
@@ -1,7 +1,7 @@
 import fc from "fast-check";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { crowdingOf, initialCrowding, noteCrowding } from "../src/contention.js";
+import { contentionOf, initialContention, recordContention } from "../src/contention.js";
 import { minExpectedTime } from "../src/index.js";
 import { upstream } from "./upstream.js";
 
@@ -20,11 +20,11 @@
             fc.double({ min: 0, max: 0.49, noNaN: true }),
             (answers, slots, inFlight) => {
                 const curve = answers.reduce(
-                    (before, { fill, factor }, atMs) => noteCrowding(before, fill, factor, atMs),
-                    initialCrowding,
+                    (before, { fill, factor }, atMs) => recordContention(before, fill, factor, atMs),
+                    initialContention,
                 );
                 [curve.pessimistic, curve.optimistic].forEach(factors => {
-                    const crowding = crowdingOf(factors, inFlight, slots);
+                    const crowding = contentionOf(factors, inFlight, slots);
                     assert.equal(crowding, 1);
                     const empty = upstream("a", { expectedInFlight: inFlight, slots, bestInFlight: 1, crowding });
                     assert.ok(minExpectedTime([empty], []) < 1.5, "it would be waited for");
--- a/packages/decision/test/expected-time.test.ts
+++ b/packages/decision/test/expected-time.test.ts
@@ -7,7 +7,7 @@
 import { upstream as idle } from "./upstream.js";
 
 /** A service of which one report is known. */
-const dynamics = updateFromReport(initialLoadModel, { atMs: 0, inFlight: 0, slowness: 1.8, slots: 3 }, undefined);
+const dynamics = updateFromReport(initialLoadModel, { atMs: 0, inFlight: 0, slowdown: 1.8, slots: 3 }, undefined);
 
 /** An upstream of which a fresh report is known, with what is expected of it in a service of which hardly anything else is. */
 const upstream = (id: string, change: Partial<UpstreamFacts> = {}): UpstreamFacts => {
--- a/packages/decision/test/sample-candidates.test.ts
+++ b/packages/decision/test/sample-candidates.test.ts
@@ -1,12 +1,12 @@
 import { FakeClock, SeededRandom, upstreamId } from "@harrierhitch/core";
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
-import { maximumShortlist, shortlist, type ShortlistCandidate } from "../src/sample-candidates.js";
+import { type CandidateSample, maximumCandidates, sampleCandidates } from "../src/sample-candidates.js";
 import { UpstreamTracker } from "../src/upstream-tracker.js";
 
 const zones = 6;
 
-const candidate = (index: number, reportAgeMs: number): ShortlistCandidate => ({
+const candidate = (index: number, reportAgeMs: number): CandidateSample => ({
     id: upstreamId(`u${index}`),
     sameZone: index % zones === 0,
     reportAgeMs,
@@ -19,23 +19,23 @@
 
 describe("the upstreams that a decision looks at", () => {
     test("are all where they are few", () => {
-        const few = Array.from({ length: maximumShortlist }, (_, index) => candidate(index, Infinity));
-        assert.deepEqual(shortlist(few, draws()), few.map(({ id }) => id));
+        const few = Array.from({ length: maximumCandidates }, (_, index) => candidate(index, Infinity));
+        assert.deepEqual(sampleCandidates(few, draws()), few.map(({ id }) => id));
     });
 
     test("are known ones, near ones and others in equal parts, each once", () => {
         const many = Array.from({ length: 156 }, (_, index) => candidate(index, index < 40 ? 100 : Infinity));
-        const ids = shortlist(many, draws());
-        assert.equal(new Set(ids).size, maximumShortlist);
+        const ids = sampleCandidates(many, draws());
+        assert.equal(new Set(ids).size, maximumCandidates);
         const picked = many.filter(({ id }) => ids.includes(id));
-        assert.equal(picked.filter(({ reportAgeMs }) => reportAgeMs === 100).length, maximumShortlist / 2);
-        assert.equal(picked.filter(({ reportAgeMs, sameZone }) => reportAgeMs > 100 && sameZone).length, maximumShortlist / 4);
+        assert.equal(picked.filter(({ reportAgeMs }) => reportAgeMs === 100).length, maximumCandidates / 2);
+        assert.equal(picked.filter(({ reportAgeMs, sameZone }) => reportAgeMs > 100 && sameZone).length, maximumCandidates / 4);
     });
 
     test("are drawn anew each time, so that each upstream gets its turn", () => {
         const many = Array.from({ length: 156 }, (_, index) => candidate(index, Infinity));
         const draw = draws();
-        const seen = new Set(Array.from({ length: 100 }, () => shortlist(many, draw)).flat());
+        const seen = new Set(Array.from({ length: 100 }, () => sampleCandidates(many, draw)).flat());
         assert.equal(seen.size, many.length);
     });
 });
@@ -61,7 +61,7 @@
         const tried = ids.slice(60, 70);
         leaving.forEach(id => beliefs.observe(id, { type: "draining", atMs: 1 }));
         const considered = beliefs.selectCandidates(tried, draws());
-        assert.equal(considered.length, maximumShortlist);
+        assert.equal(considered.length, maximumCandidates);
         assert.ok(considered.every(id => !leaving.includes(id) && !tried.includes(id)));
     });
 
--- a/packages/decision/test/service-load-model.test.ts
+++ b/packages/decision/test/service-load-model.test.ts
@@ -4,16 +4,16 @@
 import { type LoadSample, predictLoad } from "../src/load-prediction.js";
 import {
     initialLoadModel,
-    type LoadReading,
+    type ReportedLoad,
     type ServiceLoadModel,
-    slownessLastsMs,
+    slowdownDecayMs,
     updateFromReport,
     updateFromResponse,
 } from "../src/service-load-model.js";
 
 const slots = 6;
 
-const report = (change: Partial<LoadReading>): LoadReading => ({ atMs: 0, inFlight: 1, slowness: 1, slots, ...change });
+const report = (change: Partial<ReportedLoad>): ReportedLoad => ({ atMs: 0, inFlight: 1, slowdown: 1, slots, ...change });
 
 const known = (change: Partial<LoadSample>): LoadSample => ({
     inFlight: 0,
@@ -66,17 +66,17 @@
     /** Reports every 20 ms of ten upstreams, whose slowness is drawn anew at fixed times. */
     const keptMs = (drawnEveryMs: number): number => {
         const random = new SeededRandom(7);
-        const last: (LoadReading | undefined)[] = Array.from({ length: 10 }, () => undefined);
+        const last: (ReportedLoad | undefined)[] = Array.from({ length: 10 }, () => undefined);
         let dynamics = initialLoadModel;
         for (let atMs = 0; atMs < 20_000; atMs += 20) {
             last.forEach((before, upstream) => {
                 const isDrawn = before === undefined || (atMs + 20 * upstream) % drawnEveryMs === 0;
-                const reading = report({ atMs, slowness: isDrawn ? random.next() < 0.3 ? 5 : 1 : before.slowness });
+                const reading = report({ atMs, slowdown: isDrawn ? random.next() < 0.3 ? 5 : 1 : before.slowdown });
                 dynamics = updateFromReport(dynamics, reading, before);
                 last[upstream] = reading;
             });
         }
-        return slownessLastsMs(dynamics);
+        return slowdownDecayMs(dynamics);
     };
 
     test("is learned where it changes often, and where it changes rarely", () => {
@@ -88,7 +88,7 @@
 describe("the usual slowness", () => {
     const after = (slownesses: readonly number[]): ServiceLoadModel =>
         slownesses.reduce(
-            (before, slowness, atMs) => updateFromReport(before, report({ atMs, slowness }), undefined),
+            (before, slowness, atMs) => updateFromReport(before, report({ atMs, slowdown: slowness }), undefined),
             initialLoadModel,
         );
 
@@ -136,6 +136,6 @@
             utilization: 0.5,
             reportAgeMs: 400,
         });
-        assert.deepEqual(dynamics.crowding, initialLoadModel.crowding);
+        assert.deepEqual(dynamics.contention, initialLoadModel.contention);
     });
 });
