--- a/packages/fleet/src/auto-reset-event.ts
+++ b/packages/fleet/src/auto-reset-event.ts
@@ -7,7 +7,7 @@
 import type { Clock } from "@harrierhitch/core";
 
 /** News that come while nobody waits are found at the next look; any number of them are one. */
-export class NewsFlag {
+export class AutoResetEvent {
     private isRaised = false;
     private wakeUp: (() => void) | undefined;
 
@@ -15,7 +15,7 @@
     constructor(private readonly clock: Clock) {}
 
     /** Says that there is news. */
-    raise(): void {
+    set(): void {
         this.isRaised = true;
         this.wakeUp?.();
     }
@@ -26,16 +26,16 @@
      * @param timeoutMs - Longest wait; none without it.
      * @returns Whether there is news.
      */
-    async take(timeoutMs?: number): Promise<boolean> {
+    async wait(timeoutMs?: number): Promise<boolean> {
         if (!this.isRaised) {
-            await this.wait(timeoutMs);
+            await this.waitUntilSet(timeoutMs);
         }
         const hadNews = this.isRaised;
         this.isRaised = false;
         return hadNews;
     }
 
-    private wait(timeoutMs: number | undefined): Promise<void> {
+    private waitUntilSet(timeoutMs: number | undefined): Promise<void> {
         return new Promise(resolve => {
             const timer = timeoutMs === undefined ? undefined : this.clock.after(timeoutMs, resolve);
             this.wakeUp = () => {
--- a/packages/fleet/src/configuration-message.ts
+++ b/packages/fleet/src/configuration-message.ts
@@ -16,7 +16,7 @@
     });
 
 /** The configuration, if another instance lacks it by the version it told. */
-export const documentsFor = (accepted: ActiveConfiguration, other: Version | undefined): Document[] => {
+export const missingDocuments = (accepted: ActiveConfiguration, other: Version | undefined): Document[] => {
     const { current: inForce } = accepted;
     const version = versionOf(accepted);
     return inForce !== undefined && isAhead(version, other)
--- a/packages/fleet/src/contact-peers.ts
+++ b/packages/fleet/src/contact-peers.ts
@@ -10,8 +10,8 @@
 import type { PeerAddress } from "./peer-clients.js";
 import type { Seeds } from "./seeds.js";
 
-/** Options of {@link hearOthers}. */
-export interface HearOthersOptions {
+/** Options of {@link contactPeers}. */
+export interface ContactPeersOptions {
     readonly clock: Clock;
     readonly calls: PeerCalls;
     readonly members: Members;
@@ -34,7 +34,9 @@
  * @param options - Whom to ask, and for how long.
  * @returns Whether one was heard, or there is nobody to hear.
  */
-export const hearOthers = async ({ clock, calls, members, seeds, timeoutMs, signal }: HearOthersOptions): Promise<boolean> => {
+export const contactPeers = async (
+    { clock, calls, members, seeds, timeoutMs, signal }: ContactPeersOptions,
+): Promise<boolean> => {
     const untilMs = clock.nowMs() + timeoutMs;
     while (clock.nowMs() < untilMs && !signal.aborted) {
         const others: readonly PeerAddress[] = members.others.filter(member => !member.leaving);
--- a/packages/fleet/src/crash-message.ts
+++ b/packages/fleet/src/crash-message.ts
@@ -15,7 +15,7 @@
 } from "@harrierhitch/protocol";
 
 /** What one message tells of runs that ended with their upstreams. */
-export type CrashNews = Pick<ExchangeRequest | ExchangeResponse, "endedRuns" | "withheld">;
+export type CrashRecords = Pick<ExchangeRequest | ExchangeResponse, "endedRuns" | "withheld">;
 
 /**
  * Writes what an instance lacks.
@@ -25,12 +25,12 @@
  * @param other - What the other one has said that it withholds.
  * @param isBrief - Whether to leave out what is only new.
  */
-export const writeCrashNews = (
+export const encodeCrashRecords = (
     ledger: CrashHistory,
     nowMs: number,
     other: readonly RequestSignature[],
     isBrief: boolean,
-): CrashNews => ({
+): CrashRecords => ({
     withheld: [...ledger.quarantined],
     endedRuns: ledger.recentEntries(other, isBrief).map((
         { id, key, upstream, endedAtMs, endedAtUnixMs, ranMs, hasSucceeded: isAnswered, succeededMasks: answeredAlike },
@@ -54,7 +54,7 @@
  * @param nowMs - The time on this instance's clock.
  * @returns Whether anything was new.
  */
-export const takeInCrashNews = (ledger: CrashHistory, { endedRuns, withheld }: CrashNews, nowMs: number): boolean =>
+export const mergeCrashRecords = (ledger: CrashHistory, { endedRuns, withheld }: CrashRecords, nowMs: number): boolean =>
     ledger.merge(endedRuns.map(message => readEndedRun(message, nowMs)), withheld);
 
 const readEndedRun = (message: EndedRunMessage, nowMs: number): CrashRecord => {
--- a/packages/fleet/src/directory-message.ts
+++ b/packages/fleet/src/directory-message.ts
@@ -15,7 +15,7 @@
  * @param ageMs - How old what it knows is; `undefined` when that is not known.
  * @param revision - What the other instance knows; infinite tells the revision only.
  */
-export const writeDirectory = (directory: UpstreamDirectory, ageMs: number | undefined, revision: number): Directory => {
+export const encodeDirectory = (directory: UpstreamDirectory, ageMs: number | undefined, revision: number): Directory => {
     const known = { revision: BigInt(directory.revision), ageMs: ageMs ?? -1 };
     if (directory.revision <= revision) {
         return create(DirectorySchema, { ...known, complete: revision < Infinity });
@@ -41,7 +41,7 @@
 };
 
 /** Reads what another instance told of its directory; `undefined` when it told its revision only. */
-export const readDirectory = ({ complete, revision, whole, listings, zones }: Directory): DirectoryUpdate | undefined =>
+export const decodeDirectory = ({ complete, revision, whole, listings, zones }: Directory): DirectoryUpdate | undefined =>
     complete
         ? {
             revision: Number(revision),
--- a/packages/fleet/src/distribution-roles.ts
+++ b/packages/fleet/src/distribution-roles.ts
@@ -11,7 +11,7 @@
 import { selectReaders, selectRelays } from "./select-distributors.js";
 
 /** Options of {@link DistributionRoles}. */
-export interface RolesOptions {
+export interface DistributionRolesOptions {
     readonly clock: Clock;
     readonly members: Members;
     readonly times: FleetTimes;
@@ -62,7 +62,7 @@
     readonly joinedAtMs: number;
 
     /** @param options - Members and times. */
-    constructor(private readonly options: RolesOptions) {
+    constructor(private readonly options: DistributionRolesOptions) {
         this.joinedAtMs = options.clock.nowMs();
     }
 
@@ -101,7 +101,7 @@
     }
 
     /** Notes that another instance takes this one for a source of some role. */
-    noteAsked(role: Role): void {
+    recordRoleRequest(role: Role): void {
         this.askedAtMs.set(role, this.options.clock.nowMs());
     }
 
@@ -110,7 +110,7 @@
      *
      * @returns Whether it was a reader or a relay, so that another one has to be found.
      */
-    avoid({ instance }: Member): boolean {
+    backOff({ instance }: Member): boolean {
         const { clock, times } = this.options;
         const wasSource = [...this.readers, ...this.relays].some(source => source.instance === instance);
         const before = this.avoided.get(instance);
@@ -121,7 +121,7 @@
     }
 
     /** Notes that a member answered. */
-    noteAnswered(instance: string): void {
+    recordResponse(instance: string): void {
         if (this.avoided.delete(instance)) {
             this.found = undefined;
         }
--- a/packages/fleet/src/drain-gossip.ts
+++ b/packages/fleet/src/drain-gossip.ts
@@ -30,7 +30,7 @@
 }
 
 /** Options of {@link DrainGossip}. */
-export interface RumorsOptions {
+export interface DrainGossipOptions {
     readonly clock: Clock;
 }
 
@@ -51,7 +51,7 @@
     private readonly kept = new Map<string, Kept>();
 
     /** @param options - The clock. */
-    constructor(private readonly options: RumorsOptions) {}
+    constructor(private readonly options: DrainGossipOptions) {}
 
     /**
      * Notes what this instance learned itself.
--- a/packages/fleet/src/exchange-call.ts
+++ b/packages/fleet/src/exchange-call.ts
@@ -7,11 +7,11 @@
 import type { ExchangeRequest, ExchangeResponse, Role } from "@harrierhitch/protocol";
 
 /** How an exchange is done. */
-export interface ExchangeManner {
+export interface ExchangeCallOptions {
     /** Longest time for which the other instance may wait for something new to tell. */
-    readonly waitMs?: number;
+    readonly longPollMs?: number;
     /** Whether observations are left out. */
-    readonly isBrief?: boolean;
+    readonly isDelta?: boolean;
     /** What the other instance is asked as. */
     readonly role?: Role;
     /** The other instance, where it is known. */
@@ -19,10 +19,10 @@
 }
 
 /** What an exchange showed of the other instance. */
-export interface ExchangeAnswer {
+export interface ExchangeResult {
     readonly instance: string;
     /** Age of what it knows, on this instance's clock; infinite where it lacks something that this instance knows. */
-    readonly ageMs: number;
+    readonly stalenessMs: number;
 }
 
 /** Sends a request to one instance. */
--- a/packages/fleet/src/exchange.ts
+++ b/packages/fleet/src/exchange.ts
@@ -16,17 +16,17 @@
     type MemberCursor,
     Role,
 } from "@harrierhitch/protocol";
-import { documentsFor, versionOf } from "./configuration-message.js";
-import { takeInCrashNews, writeCrashNews } from "./crash-message.js";
-import { readDirectory, writeDirectory } from "./directory-message.js";
+import { missingDocuments, versionOf } from "./configuration-message.js";
+import { encodeCrashRecords, mergeCrashRecords } from "./crash-message.js";
+import { decodeDirectory, encodeDirectory } from "./directory-message.js";
 import type { DistributionRoles } from "./distribution-roles.js";
 import type { DrainGossip } from "./drain-gossip.js";
-import type { ExchangeAnswer, ExchangeManner, SendExchange } from "./exchange-call.js";
+import type { ExchangeCallOptions, ExchangeResult, SendExchange } from "./exchange-call.js";
 import type { FleetOptions } from "./fleet-options.js";
-import type { NewsReach } from "./gossip-scope.js";
-import { takeInLimits, writeLimits } from "./limit-message.js";
+import type { GossipScope } from "./gossip-scope.js";
+import { encodeLimits, mergeLimits } from "./limit-message.js";
 import type { Members } from "./members.js";
-import { type StalenessTracker, tellShare } from "./staleness-tracker.js";
+import { notifyShare, type StalenessTracker } from "./staleness-tracker.js";
 
 /** Options of {@link Exchange}; those of the fleet mean the same there. */
 export interface ExchangeOptions extends
@@ -50,7 +50,7 @@
     readonly roles: DistributionRoles;
     readonly rumors: DrainGossip;
     /** Told when an exchange brought something that others should hear at once. */
-    readonly onNews: (reach: NewsReach) => void;
+    readonly onNews: (reach: GossipScope) => void;
     /** Told of members that have just said that they leave. */
     readonly onLeaving: (leaving: readonly Member[]) => void;
 }
@@ -79,7 +79,7 @@
      * @param manner - How it is done.
      * @returns Who answered, and how old its knowledge is.
      */
-    async with(send: SendExchange, manner: ExchangeManner = {}): Promise<ExchangeAnswer> {
+    async initiate(send: SendExchange, manner: ExchangeCallOptions = {}): Promise<ExchangeResult> {
         const { clock } = this.options;
         const askedAtMs = clock.nowMs();
         const { request, told } = this.request([], this.directoryFor(Infinity), manner);
@@ -88,37 +88,37 @@
         this.told.set(instance, told);
         this.takeIn(instance, response, manner.role !== undefined && manner.role !== Role.UNSPECIFIED);
         const ageMs = this.takeInAge(response, Math.max(0, clock.nowMs() - askedAtMs - response.heldMs));
-        const documents = documentsFor(this.options.activeConfiguration, response.configuration);
+        const documents = missingDocuments(this.options.activeConfiguration, response.configuration);
         const directory = this.directoryFor(Number(response.directory?.revision ?? 0n));
         if (documents.length > 0 || directory.listings.length > 0) {
             const second = this.request(documents, directory, { receiver: instance });
             this.takeIn(instance, await send(second.request));
         }
-        return { instance, ageMs };
+        return { instance, stalenessMs: ageMs };
     }
 
     /** Answers the exchange of another instance, at once where it lacks something. */
-    async answer(request: ExchangeRequest): Promise<ExchangeResponse> {
+    async respond(request: ExchangeRequest): Promise<ExchangeResponse> {
         const asking = request.sender?.instance ?? "";
         this.takeIn(asking, request);
         const { clock, members, roles, rumors, crashes, limits, freshness } = this.options;
         if (request.role !== Role.UNSPECIFIED) {
-            roles.noteAsked(request.role);
+            roles.recordRoleRequest(request.role);
         }
         const waits = request.waitMs > 0 && !this.isBehind(request) && !this.lacksWithheld(asking, request.withheld);
-        const heldMs = waits ? await freshness.next(Math.min(request.waitMs, maximumWaitMs)) : 0;
-        const news = members.newsAfter(request.heard, asking);
+        const heldMs = waits ? await freshness.waitForChange(Math.min(request.waitMs, maximumWaitMs)) : 0;
+        const news = members.updatesSince(request.heard, asking);
         return create(ExchangeResponseSchema, {
             sender: members.self,
             members: [...news.members],
             told: news.told,
             configuration: versionOf(this.options.activeConfiguration),
-            configurationDocuments: documentsFor(this.options.activeConfiguration, request.configuration),
+            configurationDocuments: missingDocuments(this.options.activeConfiguration, request.configuration),
             observations: request.brief ? [] : [...rumors.pending()],
             directory: this.directoryFor(Number(request.directory?.revision ?? 0n)),
             heldMs,
-            limits: writeLimits(limits, request.brief),
-            ...writeCrashNews(crashes, clock.nowMs(), request.withheld, request.brief),
+            limits: encodeLimits(limits, request.brief),
+            ...encodeCrashRecords(crashes, clock.nowMs(), request.withheld, request.brief),
         });
     }
 
@@ -129,9 +129,9 @@
     private isBehind({ directory, configuration }: ExchangeRequest): boolean {
         const { directory: own, freshness, confirmMs } = this.options;
         const ageMs = directory === undefined || directory.ageMs < 0 ? Infinity : directory.ageMs;
-        const isYounger = ageMs - freshness.stalenessMs > confirmMs * tellShare;
+        const isYounger = ageMs - freshness.stalenessMs > confirmMs * notifyShare;
         return Number(directory?.revision ?? 0n) < own.revision
-            || documentsFor(this.options.activeConfiguration, configuration).length > 0
+            || missingDocuments(this.options.activeConfiguration, configuration).length > 0
             || ageMs > confirmMs && isYounger;
     }
 
@@ -151,10 +151,10 @@
     private request(
         configurationDocuments: Document[],
         directory: Directory,
-        { waitMs = 0, isBrief = false, role = Role.UNSPECIFIED, receiver = "" }: ExchangeManner = {},
+        { longPollMs: waitMs = 0, isDelta: isBrief = false, role = Role.UNSPECIFIED, receiver = "" }: ExchangeCallOptions = {},
     ): { readonly request: ExchangeRequest; readonly told: MemberCursor; } {
         const { clock, fleet, members, rumors, crashes, limits } = this.options;
-        const news = members.newsAfter(this.told.get(receiver), receiver);
+        const news = members.updatesSince(this.told.get(receiver), receiver);
         const heard = this.heard.get(receiver);
         const request = create(ExchangeRequestSchema, {
             fleet,
@@ -167,9 +167,9 @@
             waitMs,
             brief: isBrief,
             role,
-            limits: writeLimits(limits, isBrief),
+            limits: encodeLimits(limits, isBrief),
             ...(heard && { heard }),
-            ...writeCrashNews(crashes, clock.nowMs(), this.withheld.get(receiver) ?? [], isBrief),
+            ...encodeCrashRecords(crashes, clock.nowMs(), this.withheld.get(receiver) ?? [], isBrief),
         });
         return { request, told: news.told };
     }
@@ -202,8 +202,8 @@
         const heard = rumors.merge(news.observations);
         heard.forEach(onRumor);
         this.withheld.set(source, news.withheld);
-        const isLimitNews = takeInLimits(limits, news.limits);
-        const isUrgent = takeInCrashNews(crashes, news, clock.nowMs()) || heard.length > 0 || isLimitNews;
+        const isLimitNews = mergeLimits(limits, news.limits);
+        const isUrgent = mergeCrashRecords(crashes, news, clock.nowMs()) || heard.length > 0 || isLimitNews;
         if (leaving.length > 0) {
             onLeaving(leaving);
         }
@@ -226,7 +226,7 @@
 
     private takeInDirectory(message: Directory | undefined): void {
         const { directory, onDirectory } = this.options;
-        const news = message === undefined ? undefined : readDirectory(message);
+        const news = message === undefined ? undefined : decodeDirectory(message);
         const isEmpty = news === undefined || news.entries.length === 0 && news.zones.length === 0;
         if (news === undefined || isEmpty && news.revision <= directory.revision) {
             return;
@@ -258,6 +258,6 @@
     /** What is known of the directory, with the changes that an instance lacks that knows it up to a revision. */
     private directoryFor(revision: number): Directory {
         const { directory, freshness } = this.options;
-        return writeDirectory(directory, freshness.confirmedStalenessMs, revision);
+        return encodeDirectory(directory, freshness.confirmedStalenessMs, revision);
     }
 }
--- a/packages/fleet/src/fleet.ts
+++ b/packages/fleet/src/fleet.ts
@@ -7,22 +7,22 @@
 import { sleep } from "@harrierhitch/core";
 import type { Member } from "@harrierhitch/protocol";
 import { defaultFleetTimes, type FleetTimes } from "@harrierhitch/published";
-import { hearOthers } from "./contact-peers.js";
+import { contactPeers } from "./contact-peers.js";
 import { DistributionRoles } from "./distribution-roles.js";
 import { DrainGossip } from "./drain-gossip.js";
 import { Exchange } from "./exchange.js";
 import type { FleetOptions } from "./fleet-options.js";
-import type { NewsReach } from "./gossip-scope.js";
-import { chooseLinks, type Link } from "./links.js";
+import type { GossipScope } from "./gossip-scope.js";
+import { type Link, selectLinks } from "./links.js";
 import { MemberAssignment } from "./member-assignment.js";
 import { Members } from "./members.js";
-import { PartSearch } from "./partition-recovery.js";
+import { PartitionRecovery } from "./partition-recovery.js";
 import { PeerCalls } from "./peer-calls.js";
 import type { PeerAddress } from "./peer-clients.js";
 import { PeerLinks } from "./peer-links.js";
 import { Seeds } from "./seeds.js";
-import { selfOf } from "./self-member.js";
-import { StalenessTracker, tellShare } from "./staleness-tracker.js";
+import { createSelfMember } from "./self-member.js";
+import { notifyShare, StalenessTracker } from "./staleness-tracker.js";
 
 /** Joins membership, documents, listed upstreams and observations of one instance. */
 export class Fleet {
@@ -41,7 +41,7 @@
     private readonly calls: PeerCalls;
     /** Instances that are asked first for the others. */
     readonly seeds: Seeds;
-    private readonly search: PartSearch;
+    private readonly search: PartitionRecovery;
     private knownSize = 1;
 
     /** @param options - Parts of the instance. */
@@ -49,8 +49,8 @@
         const { clock, random, address, port } = options;
         this.times = { ...defaultFleetTimes, ...options.times };
         this.seeds = new Seeds({ random, self: { address, port }, addresses: options.seeds });
-        this.stalenessTracker = new StalenessTracker(clock, this.times.confirmMs * tellShare, this.times.batchMs);
-        this.members = new Members({ clock, self: selfOf(options), times: this.times });
+        this.stalenessTracker = new StalenessTracker(clock, this.times.confirmMs * notifyShare, this.times.batchMs);
+        this.members = new Members({ clock, self: createSelfMember(options), times: this.times });
         this.roles = new DistributionRoles({
             clock,
             members: this.members,
@@ -96,7 +96,7 @@
             },
         });
         const { seeds, members, roles, calls } = this;
-        this.search = new PartSearch({ seeds, members, roles, calls, onHeard: () => this.links.refresh() });
+        this.search = new PartitionRecovery({ seeds, members, roles, calls, onHeard: () => this.links.refresh() });
     }
 
     /** Takes over other seeds. */
@@ -112,7 +112,7 @@
     /** Announces to its links, and to those who wait for its answers, that this instance leaves; they pass it on. */
     async announceLeaving(): Promise<void> {
         this.members.updateSelf({ leaving: true });
-        this.stalenessTracker.tell();
+        this.stalenessTracker.notifyWaiters();
         const links = this.members.others.filter(({ instance }) => this.links.includes(instance));
         await Promise.all(links.map(member => this.calls.exchangeWith(member, "news")));
     }
@@ -149,8 +149,8 @@
         this.tell(this.roles.isReader ? "followers" : "everyone");
     }
 
-    private tell(reach: NewsReach): void {
-        this.stalenessTracker.tell();
+    private tell(reach: GossipScope): void {
+        this.stalenessTracker.notifyWaiters();
         if (reach !== "followers") {
             this.links.wake(reach === "everyone");
         }
@@ -164,7 +164,7 @@
      * @param sleptMs - How long it slept.
      */
     resumeAfterStall(sleptMs: number): void {
-        this.members.forgive();
+        this.members.resetTimeouts();
         if (sleptMs >= this.times.confirmMs) {
             this.links.wake(true);
         }
@@ -180,16 +180,16 @@
     contactPeers(timeoutMs: number): Promise<boolean> {
         const { clock } = this.options;
         const { calls, members, seeds, ending: { signal } } = this;
-        return hearOthers({ clock, calls, members, seeds, timeoutMs, signal });
+        return contactPeers({ clock, calls, members, seeds, timeoutMs, signal });
     }
 
     private async beatWhileRunning(): Promise<void> {
         const { clock } = this.options;
         while (!this.ending.signal.aborted) {
-            this.members.beat();
+            this.members.advanceHeartbeat();
             this.members.prune();
             this.links.refresh();
-            this.search.beat();
+            this.search.onHeartbeat();
             this.tellSize();
             await sleep(clock, this.times.exchangeIntervalMs, this.ending.signal);
         }
@@ -225,13 +225,13 @@
 
     private chooseLinks(members: readonly Member[]): readonly Link[] {
         const { members: { self }, roles, times } = this;
-        return chooseLinks({ self, role: roles.own, members, readers: roles.readers, relays: roles.relays, times });
+        return selectLinks({ self, role: roles.own, members, readers: roles.readers, relays: roles.relays, times });
     }
 
     /** Passes over a member that did not answer; if it was a reader or relay, another one is found at once. */
     private avoid(peer: PeerAddress, error: Error): void {
         const member = this.members.others.find(({ address, port }) => address === peer.address && port === peer.port);
-        if (member !== undefined && !this.ending.signal.aborted && this.roles.avoid(member)) {
+        if (member !== undefined && !this.ending.signal.aborted && this.roles.backOff(member)) {
             this.options.onDistributorLost(member.instance, error);
             this.links.refresh();
         }
--- a/packages/fleet/src/gossip-scope.ts
+++ b/packages/fleet/src/gossip-scope.ts
@@ -9,4 +9,4 @@
  * - `links`: also the members that it talks to now and then.
  * - `everyone`: also the sources that keep their answers to it back.
  */
-export type NewsReach = "followers" | "links" | "everyone";
+export type GossipScope = "followers" | "links" | "everyone";
--- a/packages/fleet/src/limit-message.ts
+++ b/packages/fleet/src/limit-message.ts
@@ -15,7 +15,7 @@
  * @param limits - What this instance remembers.
  * @param isBrief - Whether to leave out what is not just new.
  */
-export const writeLimits = (limits: UpstreamLimits, isBrief: boolean): NamedLimit[] =>
+export const encodeLimits = (limits: UpstreamLimits, isBrief: boolean): NamedLimit[] =>
     limits.recentEntries(isBrief).map(({ upstream, startedAtMs, notice: { perSecond, sinceUnixMs, saidAtUnixMs, heardBy } }) =>
         create(NamedLimitSchema, {
             upstream,
@@ -34,7 +34,7 @@
  * @param told - What the other one told.
  * @returns Whether others should hear of any of it at once.
  */
-export const takeInLimits = (limits: UpstreamLimits, told: readonly NamedLimit[]): boolean => limits.merge(told.map(readLimit));
+export const mergeLimits = (limits: UpstreamLimits, told: readonly NamedLimit[]): boolean => limits.merge(told.map(readLimit));
 
 const readLimit = (
     { upstream, startedAtMs, perSecond, sinceUnixMs, saidAtUnixMs, heardBy }: NamedLimit,
--- a/packages/fleet/src/link-task.ts
+++ b/packages/fleet/src/link-task.ts
@@ -6,7 +6,7 @@
 
 import { type Clock, type RandomSource, sleep } from "@harrierhitch/core";
 import type { Member } from "@harrierhitch/protocol";
-import { NewsFlag } from "./auto-reset-event.js";
+import { AutoResetEvent } from "./auto-reset-event.js";
 import type { ExchangeReason } from "./exchange-reason.js";
 import type { Link } from "./links.js";
 
@@ -35,15 +35,15 @@
 
 /** Talks to one member until it is stopped. */
 export class LinkTask {
-    private readonly news: NewsFlag;
+    private readonly news: AutoResetEvent;
     /** What has come up while the member keeps its answer back, and must reach it before that answer is due. */
-    private readonly urgentNews: NewsFlag;
+    private readonly urgentNews: AutoResetEvent;
     private readonly ending = new AbortController();
 
     /** @param options - The link and the way to talk. */
     constructor(private readonly options: LinkTaskOptions) {
-        this.news = new NewsFlag(options.clock);
-        this.urgentNews = new NewsFlag(options.clock);
+        this.news = new AutoResetEvent(options.clock);
+        this.urgentNews = new AutoResetEvent(options.clock);
         void this.exchangeWhileRunning();
         void this.tellWhileRunning();
     }
@@ -51,8 +51,8 @@
     /** Ends the task. */
     stop(): void {
         this.ending.abort();
-        this.news.raise();
-        this.urgentNews.raise();
+        this.news.set();
+        this.urgentNews.set();
     }
 
     /**
@@ -63,10 +63,10 @@
     wake(isUrgent: boolean): void {
         const { waitMs } = this.options.link();
         if (waitMs === 0) {
-            this.news.raise();
+            this.news.set();
         }
         else if (isUrgent) {
-            this.urgentNews.raise();
+            this.urgentNews.set();
         }
     }
 
@@ -80,7 +80,7 @@
             const answered = await exchangeWith(member(), link.waitMs > 0 ? "question" : reason, link);
             // Whoever waits for the answer needs no pause between two questions.
             const pauseMs = link.waitMs === 0 || !answered ? link.intervalMs * (0.75 + 0.5 * random.next()) : 0;
-            reason = pauseMs > 0 && await this.news.take(pauseMs) ? "news" : "interval";
+            reason = pauseMs > 0 && await this.news.wait(pauseMs) ? "news" : "interval";
             await this.keepGap(beganAtMs);
         }
     }
@@ -90,7 +90,7 @@
         const { clock, member, exchangeWith } = this.options;
         const { signal } = this.ending;
         while (!signal.aborted) {
-            if (await this.urgentNews.take() && !isAborted(signal)) {
+            if (await this.urgentNews.wait() && !isAborted(signal)) {
                 const beganAtMs = clock.nowMs();
                 await exchangeWith(member(), "news");
                 await this.keepGap(beganAtMs);
--- a/packages/fleet/src/links.ts
+++ b/packages/fleet/src/links.ts
@@ -7,7 +7,7 @@
 import { rendezvousOrder } from "@harrierhitch/core";
 import { type Member, Role } from "@harrierhitch/protocol";
 import { type FleetTimes, quietIntervalMsFor } from "@harrierhitch/published";
-import { readersAsked } from "./select-distributors.js";
+import { readersPerRelay } from "./select-distributors.js";
 
 /** A member that this instance talks to. */
 export interface Link {
@@ -51,7 +51,7 @@
  * and then; a relay asks readers, everyone else a relay; all ask one more of their zone now and then. The choice is
  * stable while they live, and differs between instances, so that the links of all join the whole fleet.
  */
-export const chooseLinks = (options: LinkOptions): readonly Link[] => {
+export const selectLinks = (options: LinkOptions): readonly Link[] => {
     const { self, role, members, times } = options;
     const order = rendezvousOrder(`links ${self.instance}`, members, ({ instance }) => instance);
     const sources = sourcesOf(options, order);
@@ -85,7 +85,7 @@
         waitMs: times.longPollMs,
         role: asked,
     });
-    const readersFirst = amongOrder(readers).slice(0, readersAsked).map(askAs(Role.READER));
+    const readersFirst = amongOrder(readers).slice(0, readersPerRelay).map(askAs(Role.READER));
     const [relay] = amongOrder(relays);
     return role === Role.UNSPECIFIED && relay !== undefined ? [askAs(Role.RELAY)(relay)] : readersFirst;
 };
--- a/packages/fleet/src/members.ts
+++ b/packages/fleet/src/members.ts
@@ -28,7 +28,7 @@
 }
 
 /** What one instance tells another of members. */
-export interface MemberNews {
+export interface MemberUpdates {
     readonly members: readonly Member[];
     /** How far they bring it. */
     readonly told: MemberCursor;
@@ -73,7 +73,7 @@
     }
 
     /** Counts the heartbeat up, if it is time. */
-    beat(): void {
+    advanceHeartbeat(): void {
         const nowMs = this.options.clock.nowMs();
         if (nowMs - this.beatAtMs >= this.heartbeatMs) {
             this.beatAtMs = nowMs;
@@ -100,7 +100,7 @@
     }
 
     /** Gives every member new time, because this process slept and could not hear them. */
-    forgive(): void {
+    resetTimeouts(): void {
         const heardAtMs = this.options.clock.nowMs();
         this.known.forEach((known, id) => this.known.set(id, { ...known, heardAtMs }));
     }
@@ -145,7 +145,7 @@
      * @param cursor - How far it has heard.
      * @param receiver - Its id; what it told itself is left out.
      */
-    newsAfter(cursor: MemberCursor | undefined, receiver: string): MemberNews {
+    updatesSince(cursor: MemberCursor | undefined, receiver: string): MemberUpdates {
         const { incarnation } = this.own;
         const after = cursor?.incarnation === incarnation ? cursor.number : 0n;
         const later = [...this.known.values()].filter(({ number }) => number > after);
--- a/packages/fleet/src/partition-recovery.ts
+++ b/packages/fleet/src/partition-recovery.ts
@@ -17,8 +17,8 @@
 /** Failed members of other availability zones are tried every so many beats only. */
 const beatsBetweenOutsideRetries = 4;
 
-/** Options of {@link PartSearch}. */
-export interface PartSearchOptions {
+/** Options of {@link PartitionRecovery}. */
+export interface PartitionRecoveryOptions {
     readonly seeds: Seeds;
     readonly members: Members;
     readonly roles: DistributionRoles;
@@ -28,19 +28,19 @@
 }
 
 /** Asks seeds that are not among the living members, and failed members: one, or whoever it knows, may be such a part. */
-export class PartSearch {
+export class PartitionRecovery {
     private beats = 0;
 
     /** @param options - Seeds and the way to ask them. */
-    constructor(private readonly options: PartSearchOptions) {}
+    constructor(private readonly options: PartitionRecoveryOptions) {}
 
     /** Called with every beat; asks a seed where it is time for that. */
-    beat(): void {
+    onHeartbeat(): void {
         const { seeds, members: { alive }, roles, calls, onHeard } = this.options;
         const isAlone = alive.length === 1;
         this.beats += 1;
         const isDue = isAlone || roles.isReader && this.beats % beatsBetweenSeeds === 0;
-        const seed = isDue ? seeds.pickUnlike(alive) : undefined;
+        const seed = isDue ? seeds.pickExcept(alive) : undefined;
         if (seed !== undefined) {
             void calls.exchangeWith(seed, "search").then(heard => heard ? onHeard() : undefined);
         }
--- a/packages/fleet/src/peer-calls.ts
+++ b/packages/fleet/src/peer-calls.ts
@@ -63,11 +63,11 @@
         try {
             const client = clients.to(peer);
             const timeoutMs = times.callTimeoutMs + waitMs;
-            const { instance, ageMs } = await exchange.with(
+            const { instance, stalenessMs: ageMs } = await exchange.initiate(
                 request => callWithTimeout(clock, timeoutMs, signal => client.exchange(request, { signal })),
-                { waitMs, role, receiver: peer.instance ?? "", isBrief: waitMs > 0 && this.isBriefTurn() },
+                { longPollMs: waitMs, role, receiver: peer.instance ?? "", isDelta: waitMs > 0 && this.isBriefTurn() },
             );
-            roles.noteAnswered(instance);
+            roles.recordResponse(instance);
             if (role !== Role.UNSPECIFIED && ageMs > times.confirmMs) {
                 this.toldStaleAtMs = clock.nowMs();
             }
--- a/packages/fleet/src/peer-service.ts
+++ b/packages/fleet/src/peer-service.ts
@@ -46,7 +46,7 @@
             bounded(request.members.length <= maximumItems && request.observations.length <= maximumItems, "the number of items");
             bounded(Math.max(request.endedRuns.length, request.withheld.length) <= maximumItems, "the number of runs");
             bounded((request.directory?.listings.length ?? 0) <= maximumListings, "the number of listings");
-            return fleet.exchange.answer(request);
+            return fleet.exchange.respond(request);
         },
         explainLocal: request => {
             const explanation = options.explain(request.requestId);
--- a/packages/fleet/src/seeds.ts
+++ b/packages/fleet/src/seeds.ts
@@ -42,7 +42,7 @@
     }
 
     /** Draws a seed that is none of some instances; `undefined` when there is none. */
-    pickUnlike(known: readonly PeerAddress[]): PeerAddress | undefined {
+    pickExcept(known: readonly PeerAddress[]): PeerAddress | undefined {
         const unknown = this.addresses.filter(address => !known.some(other => isSame(address, other)));
         return unknown[Math.floor(this.options.random.next() * unknown.length)];
     }
--- a/packages/fleet/src/select-distributors.ts
+++ b/packages/fleet/src/select-distributors.ts
@@ -27,7 +27,7 @@
 const oneReaderSize = 6;
 
 /** Readers that a relay asks. */
-export const readersAsked = 2;
+export const readersPerRelay = 2;
 
 /**
  * The readers of the fleet.
--- a/packages/fleet/src/self-member.ts
+++ b/packages/fleet/src/self-member.ts
@@ -9,7 +9,7 @@
 import type { FleetOptions } from "./fleet-options.js";
 
 /** Makes the member that this instance is. */
-export const selfOf = (
+export const createSelfMember = (
     { instance, incarnation, availabilityZone, address, port }: Pick<
         FleetOptions,
         "instance" | "incarnation" | "availabilityZone" | "address" | "port"
--- a/packages/fleet/src/staleness-tracker.ts
+++ b/packages/fleet/src/staleness-tracker.ts
@@ -7,7 +7,7 @@
 import { type Clock, sleep, type Timer } from "@harrierhitch/core";
 
 /** Part of the time between two confirmations by which knowledge has to become younger before that alone is told. */
-export const tellShare = 0.6;
+export const notifyShare = 0.6;
 
 /** Keeps the latest moment as of which nothing published is known to be missing here. */
 export class StalenessTracker {
@@ -45,7 +45,7 @@
         const confirmedAtMs = this.clock.nowMs() - ageMs;
         this.confirmedAtMs = Math.max(this.confirmedAtMs, confirmedAtMs);
         if (this.confirmedAtMs - this.toldAtMs > this.tellStepMs) {
-            this.tell();
+            this.notifyWaiters();
         }
     }
 
@@ -53,7 +53,7 @@
      * Ends the wait of everyone, because there is something new. What comes up within the gap is told together:
      * each of those who wait answers with a question.
      */
-    tell(): void {
+    notifyWaiters(): void {
         const { clock } = this;
         const dueInMs = this.endedWaitsAtMs + this.tellGapMs - clock.nowMs();
         if (dueInMs <= 0) {
@@ -78,7 +78,7 @@
      * @param timeoutMs - Longest wait.
      * @returns Milliseconds that it took.
      */
-    async next(timeoutMs: number): Promise<number> {
+    async waitForChange(timeoutMs: number): Promise<number> {
         const sinceMs = this.clock.nowMs();
         const waiting = new AbortController();
         this.waiting.add(waiting);
--- a/packages/published/src/active-configuration.ts
+++ b/packages/published/src/active-configuration.ts
@@ -1,5 +1,5 @@
 /**
- * The configuration in force on one instance.
+ * The active configuration of one instance.
  *
  * @packageDocumentation
  */
@@ -7,38 +7,36 @@
 import { checkConfiguration, type CheckResult, type Configuration } from "@harrierhitch/configuration";
 import type { ApplyResult } from "./apply-result.js";
 
-/** A configuration in force, with the document it was made from. */
+/** A configuration with the document that it was parsed from. */
 export interface LoadedConfiguration {
     readonly configuration: Configuration;
     readonly text: string;
 }
 
 /**
- * Holds the highest accepted configuration and never goes back.
- *
- * Two contents under one generation are settled alike on every instance: the
- * one with the lower hash wins, in whatever order they arrive.
+ * Holds the configuration with the highest generation. Of two documents with the same generation the one with the lower
+ * hash wins, so all instances converge whatever the order of arrival.
  */
 export class ActiveConfiguration {
-    private held: LoadedConfiguration | undefined;
+    private loaded: LoadedConfiguration | undefined;
 
-    /** @param check - Reads and checks a document; the product's own syntax without one. */
+    /** @param check - Parses and validates a document; defaults to the product's own syntax. */
     constructor(private readonly check: (file: string, text: string) => CheckResult<Configuration> = checkConfiguration) {}
 
-    /** The configuration in force; `undefined` before the first was accepted. */
+    /** The active configuration; `undefined` until the first document is accepted. */
     get current(): LoadedConfiguration | undefined {
-        return this.held;
+        return this.loaded;
     }
 
     /**
-     * Offers a document from any source.
+     * Validates a document and activates it unless the active configuration takes precedence.
      *
-     * @param file - Where it comes from, for findings.
+     * @param file - Source of the document, for findings.
      * @param text - The document.
-     * @returns What became of it.
+     * @returns Whether the document was activated, and otherwise why not.
      */
     apply(file: string, text: string): ApplyResult {
-        if (text === this.held?.text) {
+        if (text === this.loaded?.text) {
             return { type: "same" };
         }
         const checked = this.check(file, text);
@@ -46,15 +44,15 @@
             return { type: "invalid", findings: checked.findings };
         }
         const configuration = checked.value;
-        const current = this.held?.configuration;
-        const isConflict = configuration.generation === current?.generation;
-        if (current !== undefined && configuration.generation < current.generation) {
+        const active = this.loaded?.configuration;
+        const isConflict = configuration.generation === active?.generation;
+        if (active !== undefined && configuration.generation < active.generation) {
             return { type: "older", configuration };
         }
-        if (current !== undefined && isConflict && configuration.hash > current.hash) {
+        if (active !== undefined && isConflict && configuration.hash > active.hash) {
             return { type: "conflict", configuration };
         }
-        this.held = { configuration, text };
+        this.loaded = { configuration, text };
         return { type: "accepted", configuration, conflict: isConflict };
     }
 }
--- a/packages/published/src/apply-result.ts
+++ b/packages/published/src/apply-result.ts
@@ -1,5 +1,5 @@
 /**
- * The result of offering a configuration document.
+ * The result of applying a configuration document.
  *
  * @packageDocumentation
  */
@@ -7,13 +7,13 @@
 import type { Configuration, Finding } from "@harrierhitch/configuration";
 
 /**
- * What became of an offered document.
+ * The result of applying a configuration document.
  *
- * - `accepted`: it is now in force.
- * - `same`: it is in force already.
- * - `older`: its generation is below the one in force; it is never taken.
- * - `conflict`: same generation as the one in force but other content, and it lost.
- * - `invalid`: it does not pass the checks.
+ * - `accepted`: The document is now active. `conflict` is set if it replaced a document of the same generation.
+ * - `same`: The document is already active.
+ * - `older`: Its generation is lower than that of the active configuration, so it is ignored.
+ * - `conflict`: It has the generation of the active configuration but a higher hash, so it is ignored.
+ * - `invalid`: It does not pass validation.
  */
 export type ApplyResult =
     | { readonly type: "accepted"; readonly configuration: Configuration; readonly conflict: boolean; }
--- a/packages/published/src/fleet-times.ts
+++ b/packages/published/src/fleet-times.ts
@@ -1,80 +1,76 @@
 /**
- * Times and bounds of a fleet.
+ * Intervals and timeouts of a fleet.
  *
  * @packageDocumentation
  */
 
-/** Times and bounds of a fleet; docs/FLEET.md says how they were found. */
+/** Intervals and timeouts of a fleet. */
 export interface FleetTimes {
-    /** Time between two exchanges over one link without news. */
+    /** Interval between two exchanges over a link when nothing changes. */
     readonly exchangeIntervalMs: number;
-    /** The same for a link that serves news, and finding parts that were cut apart, in a fleet of {@link quietFleetSize}. */
+    /** The same for links that only back up the distributors, in a fleet of up to {@link quietFleetSize} members. */
     readonly quietIntervalMs: number;
-    /** Time after which a reader's watch of the platform ends without a change, and so confirms that nothing is missing. */
+    /** Timeout of a reader's watch of the platform; a watch that ends without a change confirms that nothing is missing. */
     readonly confirmMs: number;
-    /** Longest time for which an answer to whoever relies on it is kept back: a little longer than that. */
+    /** Timeout of a long poll of a distributor; slightly longer than {@link FleetTimes.confirmMs}. */
     readonly longPollMs: number;
-    /** Shortest time between two calls to the platform, so that changes that come together cost one call. */
+    /** Minimum interval between two calls to the platform, so that changes are batched. */
     readonly batchMs: number;
-    /** Longest time for one call. */
+    /** Timeout of one call to another instance. */
     readonly callTimeoutMs: number;
-    /** Heartbeats that have to be missing before a member is suspect. */
+    /** Missed heartbeats after which a member is suspect. */
     readonly suspectHeartbeats: number;
-    /** Heartbeats that have to be missing before a member is failed. */
+    /** Missed heartbeats after which a member is failed. */
     readonly failHeartbeats: number;
-    /** Time for which a member that did not answer is passed over, the first time; each further time in a row doubles it. */
+    /** Initial backoff of a member that did not respond; doubles with each consecutive failure. */
     readonly peerBackoffMs: number;
-    /** Time after joining for which an instance that is no seed leaves reading to others: until it knows them. */
+    /** Time after joining during which an instance that is no seed doesn't become a reader, because it doesn't know all members. */
     readonly settleMs: number;
-    /** Age of what is known from which an instance asks the platform itself. */
+    /** Staleness from which an instance reads the platform itself. */
     readonly staleAfterMs: number;
-    /** Time by which a relay asks the platform sooner than those who rely on it, so that one call serves them all. */
+    /** Time by which a relay reads the platform earlier than its subscribers, so that one call serves all of them. */
     readonly relayLeadMs: number;
 }
 
-/** Time that is left for asking the platform and for acting on its answer once knowledge is stale. */
-const actMs = 500;
+/** Time for reading the platform and applying the result once the state is stale. */
+const reactionMs = 500;
 
-/** Time that news may take from a reader over a relay to everyone, with processes that are kept waiting for a processor. */
-const spreadMs = 500;
+/** Time for a change to reach all instances from a reader, including scheduling delays. */
+const propagationMs = 500;
 
-/** Time by which an answer is kept back beyond the confirmation that it waits for. */
-const graceMs = 200;
+/** Time by which a long poll exceeds the confirmation that it waits for. */
+const longPollGraceMs = 200;
 
-/** Part of the bound by which a change may wait so that it is read together with others. */
+/** Share of the bound for which a change may wait to be batched with others. */
 const batchShare = 0.2;
 
-/** Part of the bound that one call to another instance may take. */
+/** Share of the bound that one call to another instance may take. */
 const callShare = 0.15;
 
-/** Bound of deployments that name none. */
+/** Default of the propagation bound. */
 export const defaultBoundMs = 2000;
 
 /**
- * The times that keep a bound.
+ * Returns the times with which a published change reaches all instances within a bound, also if all readers fail:
+ * instances read the platform themselves `reactionMs` before the bound, and readers confirm `propagationMs` before that.
  *
- * Without failures a change is known everywhere after `batchMs` and the way over two hops. When readers are dead, cut
- * off, or blind without knowing it, nothing confirms what is known any more: it becomes stale `actMs` before the bound,
- * and each instance asks the platform itself. Readers confirm `spreadMs` sooner than that, so that nobody asks while all
- * is well.
- *
- * @param boundMs - Longest time in which a published change has to be known on every instance.
+ * @param boundMs - Maximum time for a published change to reach every instance, in milliseconds.
  */
 export const fleetTimesFor = (boundMs: number): FleetTimes => {
-    const staleMs = boundMs - actMs;
-    const confirmMs = staleMs - spreadMs;
+    const staleAfterMs = boundMs - reactionMs;
+    const confirmMs = staleAfterMs - propagationMs;
     return {
         exchangeIntervalMs: 1000,
         quietIntervalMs: 4000,
         confirmMs,
-        longPollMs: confirmMs + graceMs,
+        longPollMs: confirmMs + longPollGraceMs,
         batchMs: boundMs * batchShare,
         callTimeoutMs: boundMs * callShare,
         suspectHeartbeats: 4,
         failHeartbeats: 8,
         peerBackoffMs: 3000,
         settleMs: 2500,
-        staleAfterMs: staleMs,
+        staleAfterMs,
         relayLeadMs: 300,
     };
 };
@@ -82,25 +78,26 @@
 /** Times for the default bound. */
 export const defaultFleetTimes: FleetTimes = fleetTimesFor(defaultBoundMs);
 
-/** Size of fleet up to which quiet links keep their time; beyond it they become rarer, so that their exchanges do not grow with it. */
+/** Number of members above which the interval of quiet links grows with the fleet. */
 const quietFleetSize = 24;
 
-/** Size of fleet up to which everyone's heartbeat counts up once a second. */
-const beatFleetSize = 12;
+/** Number of members up to which an instance sends one heartbeat per second. */
+const heartbeatFleetSize = 12;
 
-/** News of members that each instance takes in every second in a larger fleet, since every heartbeat reaches everyone. */
-const beatsPerSecond = 4;
+/** Approximate number of heartbeats per second that each instance receives in a large fleet. */
+const heartbeatsPerSecond = 4;
 
 const secondMs = 1000;
 
 /**
- * Time between two heartbeats of an instance: it grows with the fleet, so that what each instance hears every second
- * does not. Who does not answer is found out by asking; heartbeats tell only who is there at all.
+ * Returns the interval between two heartbeats of an instance. It grows with the fleet, because every heartbeat reaches
+ * every instance.
  *
- * @param members - Members of the fleet.
+ * @param members - Number of members of the fleet.
  */
-export const heartbeatMsFor = (members: number): number => secondMs * Math.max(1, (members - beatFleetSize) / beatsPerSecond);
+export const heartbeatMsFor = (members: number): number =>
+    secondMs * Math.max(1, (members - heartbeatFleetSize) / heartbeatsPerSecond);
 
-/** Time between two exchanges over a quiet link, in milliseconds. */
-export const quietIntervalMsFor = ({ quietIntervalMs: quietMs }: FleetTimes, members: number): number =>
-    quietMs * Math.max(1, members / quietFleetSize);
+/** Returns the interval between two exchanges over a quiet link, in milliseconds. */
+export const quietIntervalMsFor = ({ quietIntervalMs }: FleetTimes, members: number): number =>
+    quietIntervalMs * Math.max(1, members / quietFleetSize);
--- a/packages/published/src/index.ts
+++ b/packages/published/src/index.ts
@@ -1,7 +1,6 @@
 /**
- * What the platform published as one instance knows it: the configuration that never goes back, the listed upstreams,
- * and the times in which changes of both have to be known. It needs no other instance, so a start does not load what
- * instances speak to each other with (20 of 237 ms, profiles of two starts).
+ * What the platform published as one instance knows it: the configuration, the discovered upstreams, and the times within
+ * which changes have to reach all instances. It doesn't depend on the protocol between instances, which keeps startup fast.
  *
  * @packageDocumentation
  */
--- a/packages/published/src/upstream-directory.ts
+++ b/packages/published/src/upstream-directory.ts
@@ -1,5 +1,5 @@
 /**
- * The upstreams that the platform lists apart from the configuration.
+ * The upstreams that the platform publishes apart from the configuration.
  *
  * @packageDocumentation
  */
@@ -8,32 +8,32 @@
 import { type Clock, type UpstreamId, upstreamId } from "@harrierhitch/core";
 import { type ZoneStatus, ZoneStatusTable } from "./zone-status-table.js";
 
-/** One listing as it was published or passed on. */
+/** An entry of the directory as published by the platform or received from another instance. */
 export interface DirectoryEntry {
     readonly upstream: UpstreamId;
-    /** Revision of the platform at which it was published or taken away. */
+    /** Revision of the platform at which it was published or removed. */
     readonly revision: number;
-    /** Published text; `undefined` when the upstream was taken away. */
+    /** Published text; `undefined` if the upstream was removed. */
     readonly text: string | undefined;
     /**
-     * Milliseconds for which the instance that passes a removal on still doubts it;
-     * `undefined` for one that the platform told, which this instance judges itself.
+     * Remaining milliseconds for which the sending instance treats a removal as unconfirmed; `undefined` for an entry
+     * from the platform, for which this instance determines the time itself.
      */
     readonly unconfirmedMs?: number;
 }
 
-/** Listings of a read or a watch, or as another instance passes them on. */
+/** Changes of the directory: a full snapshot or a delta. */
 export interface DirectoryUpdate {
-    /** Every change up to this revision is included. */
+    /** Revision up to which all changes are included. */
     readonly revision: number;
-    /** Whether these are all listings, so that upstreams without one are gone. */
+    /** Whether this is a full snapshot, so that upstreams without an entry are removed. */
     readonly isSnapshot: boolean;
     readonly entries: readonly DirectoryEntry[];
-    /** Availability zones that are out of service, or were put back; all that are out where the news are whole. */
+    /** Availability zones whose status changed; in a snapshot, all zones that are out of service. */
     readonly zones: readonly ZoneStatus[];
 }
 
-/** What changed by some news. */
+/** The change of one upstream by an update. */
 export interface DirectoryChange {
     readonly upstream: UpstreamId;
     readonly before: DiscoveredUpstream | undefined;
@@ -44,66 +44,66 @@
 /** Options of {@link UpstreamDirectory}. */
 export interface UpstreamDirectoryOptions {
     readonly clock: Clock;
-    /** Reads the text of a listing. */
+    /** Parses the text of an entry. */
     readonly read: (id: UpstreamId, text: string) => CheckResult<DiscoveredUpstream>;
     /**
-     * Milliseconds for which removals are doubtful, because the platform was away
-     * just now and entries may have lapsed although their upstreams live; 0 when they are certain.
+     * Milliseconds for which removals are unconfirmed, because the platform was unavailable and entries may have expired
+     * while their upstreams were running; 0 if removals apply at once.
      */
     readonly removalGraceMs: () => number;
-    /** Told of each change. */
+    /** Called for each change. */
     readonly onChange: (change: DirectoryChange) => void;
-    /** Told when a removal that was doubted has turned out to be true. */
+    /** Called when an unconfirmed removal takes effect. */
     readonly onRemovalConfirmed: () => void;
-    /** Told of an availability zone that was taken out of service or put back. */
+    /** Called when an availability zone is taken out of service or put back. */
     readonly onZoneChange: (change: ZoneStatus) => void;
-    /** Told of a listing that cannot be read: it names no upstream to use, whatever the one before it said. */
+    /** Called for an entry that cannot be parsed; its upstream is not used, even if the previous entry was valid. */
     readonly onInvalid: (id: UpstreamId, findings: readonly Finding[], revision: number) => void;
 }
 
-interface DoubtedRemoval {
+interface UnconfirmedRemoval {
     readonly removal: DirectoryEntry;
     readonly untilMs: number;
 }
 
-interface Entry {
+interface StoredEntry {
     readonly revision: number;
     readonly text: string | undefined;
     readonly upstream: DiscoveredUpstream | undefined;
 }
 
-/** Upstreams gone at once without a word that are taken for lapsed entries at first: at least so many, and this share of all. */
-const minimumLapsed = 3;
-const lapsedShare = 0.2;
+/** Simultaneous removals of upstreams that were not draining are unconfirmed from this number and this share of all. */
+const minimumSuddenRemovals = 3;
+const suddenRemovalShare = 0.2;
 
-/** Time for which such removals are doubted: well below the two seconds after which an upstream that left gets no new work. */
+/** Time for which such removals are unconfirmed; below the two seconds within which a removal must take effect. */
 const suddenGraceMs = 1_400;
 
-/** Changes that were taken away are remembered for this many revisions, so that they can be passed on. */
-const rememberedRevisions = 2_000;
+/** Number of revisions for which removed entries are retained, so that they can be sent to other instances. */
+const retainedRevisions = 2_000;
 
-/** Keeps the listings by their revisions; an older one never undoes a later one. */
+/** Stores the directory entries by revision; an entry with a lower revision is ignored. */
 export class UpstreamDirectory {
-    private readonly entries = new Map<UpstreamId, Entry>();
+    private readonly entries = new Map<UpstreamId, StoredEntry>();
     private readonly zones = new ZoneStatusTable();
-    private known = 0;
-    /** Removals that are not believed yet, until it is clear that the entries did not just lapse. */
-    private readonly doubted = new Map<UpstreamId, DoubtedRemoval>();
+    private appliedRevision = 0;
+    /** Removals that may be caused by expired entries and don't take effect yet. */
+    private readonly unconfirmed = new Map<UpstreamId, UnconfirmedRemoval>();
 
-    /** @param options - Clock, reader and listeners. */
+    /** @param options - Clock, parser and callbacks. */
     constructor(private readonly options: UpstreamDirectoryOptions) {}
 
-    /** Every change up to this revision is known; 0 before the first news. */
+    /** Revision up to which all changes are applied; 0 before the first update. */
     get revision(): number {
-        return this.known;
+        return this.appliedRevision;
     }
 
-    /** The listed upstreams. */
+    /** The discovered upstreams. */
     get upstreams(): readonly DiscoveredUpstream[] {
         return [...this.entries.values()].flatMap(entry => entry.upstream ?? []);
     }
 
-    /** The listed upstreams whose availability zone is in service: only they get requests. */
+    /** The discovered upstreams whose availability zone is in service; only these receive requests. */
     get upstreamsInService(): readonly DiscoveredUpstream[] {
         return this.upstreams.filter(({ availabilityZone }) => !this.zones.isOut(availabilityZone));
     }
@@ -113,35 +113,35 @@
         return this.zones.outOfService;
     }
 
-    /** Takes in news from any source. */
-    merge(news: DirectoryUpdate): void {
-        this.zones.merge(news, this.known).forEach(change => this.options.onZoneChange(change));
-        const removals = [...news.entries.filter(listing => this.isRemoval(listing)), ...this.missingFrom(news)];
-        const ownDoubtMs = Math.max(this.options.removalGraceMs(), this.areTooMany(removals) ? suddenGraceMs : 0);
-        news.entries.filter(listing => !removals.includes(listing)).forEach(listing => this.put(listing));
+    /** Merges an update from the platform or from another instance. */
+    merge(update: DirectoryUpdate): void {
+        this.zones.merge(update, this.appliedRevision).forEach(change => this.options.onZoneChange(change));
+        const removals = [...update.entries.filter(entry => this.isRemoval(entry)), ...this.removalsImpliedBy(update)];
+        const localGraceMs = Math.max(this.options.removalGraceMs(), this.isSuddenRemoval(removals) ? suddenGraceMs : 0);
+        update.entries.filter(entry => !removals.includes(entry)).forEach(entry => this.put(entry));
         removals.forEach(removal => {
-            this.doubt(removal, removal.unconfirmedMs ?? ownDoubtMs);
+            this.remove(removal, removal.unconfirmedMs ?? localGraceMs);
         });
-        this.known = Math.max(this.known, news.revision);
-        this.forgetOldRemovals();
+        this.appliedRevision = Math.max(this.appliedRevision, update.revision);
+        this.evictOldRemovals();
     }
 
     /**
-     * The news for an instance that knows every change up to a revision.
+     * Returns the update for an instance that has all changes up to a revision.
      *
-     * @param revision - What it knows; 0 for nothing.
+     * @param revision - That revision; 0 for a full snapshot.
      */
     updatesSince(revision: number): DirectoryUpdate {
-        const isWhole = revision === 0 || revision < this.known - rememberedRevisions;
-        const kept = [...this.entries]
-            .filter(([, entry]) => isWhole ? entry.text !== undefined : entry.revision > revision)
-            .map(([upstream, entry]) => ({ upstream, revision: entry.revision, text: entry.text, doubtedMs: 0 }));
+        const isSnapshot = revision === 0 || revision < this.appliedRevision - retainedRevisions;
+        const stored = [...this.entries]
+            .filter(([, entry]) => isSnapshot ? entry.text !== undefined : entry.revision > revision)
+            .map(([upstream, entry]) => ({ upstream, revision: entry.revision, text: entry.text, unconfirmedMs: 0 }));
         const nowMs = this.options.clock.nowMs();
-        const doubted = [...this.doubted.values()]
+        const unconfirmed = [...this.unconfirmed.values()]
             .filter(({ removal }) => removal.revision > revision)
-            .map(({ removal, untilMs }) => ({ ...removal, doubtedMs: Math.max(1, untilMs - nowMs) }));
-        const zones = this.zones.statusesSince(revision, isWhole);
-        return { revision: this.known, isSnapshot: isWhole, entries: [...kept, ...doubted], zones };
+            .map(({ removal, untilMs }) => ({ ...removal, unconfirmedMs: Math.max(1, untilMs - nowMs) }));
+        const zones = this.zones.statusesSince(revision, isSnapshot);
+        return { revision: this.appliedRevision, isSnapshot, entries: [...stored, ...unconfirmed], zones };
     }
 
     private put({ upstream, revision, text }: DirectoryEntry): void {
@@ -151,7 +151,7 @@
         }
         const after = text === undefined ? undefined : this.read(upstream, text, revision);
         this.entries.set(upstream, { revision, text, upstream: after });
-        this.tell({ upstream, before: before?.upstream, after, revision });
+        this.notifyChange({ upstream, before: before?.upstream, after, revision });
     }
 
     private read(id: UpstreamId, text: string, revision: number): DiscoveredUpstream | undefined {
@@ -167,65 +167,66 @@
         return text === undefined && before?.upstream !== undefined && before.revision < revision;
     }
 
-    /** Removals of the upstreams that a whole read lacks. */
-    private missingFrom(news: DirectoryUpdate): readonly DirectoryEntry[] {
-        if (!news.isSnapshot || news.revision < this.known) {
+    /** Returns removals of the stored upstreams that a snapshot doesn't contain. */
+    private removalsImpliedBy(update: DirectoryUpdate): readonly DirectoryEntry[] {
+        if (!update.isSnapshot || update.revision < this.appliedRevision) {
             return [];
         }
-        const present = new Set(news.entries.map(listing => listing.upstream));
+        const present = new Set(update.entries.map(entry => entry.upstream));
         return [...this.entries].flatMap(([upstream, entry]) =>
-            entry.text !== undefined && !present.has(upstream) && entry.revision <= news.revision
-                ? [{ upstream, revision: Math.max(entry.revision + 1, news.revision), text: undefined }]
+            entry.text !== undefined && !present.has(upstream) && entry.revision <= update.revision
+                ? [{ upstream, revision: Math.max(entry.revision + 1, update.revision), text: undefined }]
                 : []
         );
     }
 
-    /** Whether so many upstreams that never said they leave are gone at once that a lapse is likelier. */
-    private areTooMany(removals: readonly DirectoryEntry[]): boolean {
+    /** Whether so many upstreams that were not draining are removed at once that their entries have probably expired. */
+    private isSuddenRemoval(removals: readonly DirectoryEntry[]): boolean {
         const sudden = removals.filter(({ upstream }) => this.entries.get(upstream)?.upstream?.draining === false).length;
-        return sudden >= minimumLapsed && sudden > this.upstreams.length * lapsedShare;
+        return sudden >= minimumSuddenRemovals && sudden > this.upstreams.length * suddenRemovalShare;
     }
 
-    private doubt(removal: DirectoryEntry, doubtMs: number): void {
-        if (doubtMs <= 0) {
+    /** Applies a removal after a grace period, unless a later entry replaces it. */
+    private remove(removal: DirectoryEntry, graceMs: number): void {
+        if (graceMs <= 0) {
             this.put(removal);
             return;
         }
         const { clock } = this.options;
-        this.doubted.set(removal.upstream, { removal, untilMs: clock.nowMs() + doubtMs });
-        clock.after(doubtMs, () => {
-            if (this.doubted.get(removal.upstream)?.removal === removal) {
-                this.doubted.delete(removal.upstream);
+        this.unconfirmed.set(removal.upstream, { removal, untilMs: clock.nowMs() + graceMs });
+        clock.after(graceMs, () => {
+            if (this.unconfirmed.get(removal.upstream)?.removal === removal) {
+                this.unconfirmed.delete(removal.upstream);
                 this.put(removal);
                 this.options.onRemovalConfirmed();
             }
         });
     }
 
-    private tell(change: DirectoryChange): void {
+    private notifyChange(change: DirectoryChange): void {
         if (change.before !== undefined || change.after !== undefined) {
             this.options.onChange(change);
         }
     }
 
-    private forgetOldRemovals(): void {
+    private evictOldRemovals(): void {
         this.entries.forEach((entry, id) => {
-            if (entry.text === undefined && entry.revision < this.known - rememberedRevisions) {
+            if (entry.text === undefined && entry.revision < this.appliedRevision - retainedRevisions) {
                 this.entries.delete(id);
             }
         });
     }
 }
 
-/** Brands the listings that another instance passed on. */
+/** Creates a directory entry from the fields of a message. */
 export const toDirectoryEntry = (
     upstream: string,
     revision: number,
     text: string | undefined,
-    doubtedMs: number,
+    unconfirmedMs: number,
 ): DirectoryEntry => ({
     upstream: upstreamId(upstream),
     revision,
     text,
-    unconfirmedMs: doubtedMs,
+    unconfirmedMs,
 });
--- a/packages/published/src/zone-status-table.ts
+++ b/packages/published/src/zone-status-table.ts
@@ -1,77 +1,77 @@
 /**
- * The availability zones that the platform publishes as out of service.
+ * The availability zones that the platform takes out of service.
  *
  * @packageDocumentation
  */
 
-/** Whether an availability zone is out of service, as of a revision of the platform. */
+/** Whether an availability zone is out of service as of a revision of the platform. */
 export interface ZoneStatus {
     readonly availabilityZone: string;
     /** Revision of the platform at which it was taken out of service or put back. */
     readonly revision: number;
-    /** Whether its upstreams get nothing further. */
+    /** Whether its upstreams receive no new requests. */
     readonly isOut: boolean;
 }
 
-/** Listings of zones in news that include every change up to a revision. */
+/** Statuses of availability zones up to a revision: a full snapshot or a delta. */
 export interface ZoneUpdate {
     readonly revision: number;
-    /** Whether zones without a listing are in service. */
+    /** Whether all zones without a status are in service. */
     readonly isSnapshot: boolean;
     readonly zones: readonly ZoneStatus[];
 }
 
-/** Keeps the zones by their revisions; an older listing never undoes a later one. */
+/** Stores the latest status of each availability zone; a status with a lower revision is ignored. */
 export class ZoneStatusTable {
-    private readonly listings = new Map<string, ZoneStatus>();
+    private readonly statuses = new Map<string, ZoneStatus>();
 
     /** Whether an availability zone is out of service. */
     isOut(availabilityZone: string): boolean {
-        return this.listings.get(availabilityZone)?.isOut === true;
+        return this.statuses.get(availabilityZone)?.isOut === true;
     }
 
     /** The availability zones that are out of service. */
     get outOfService(): readonly string[] {
-        return [...this.listings.values()].filter(({ isOut }) => isOut).map(({ availabilityZone }) => availabilityZone);
+        return [...this.statuses.values()].filter(({ isOut }) => isOut).map(({ availabilityZone }) => availabilityZone);
     }
 
     /**
-     * Takes in news from any source.
+     * Merges an update from the platform or from another instance.
      *
-     * @param news - The news.
-     * @param known - Revision up to which everything is known already.
-     * @returns What has changed.
+     * @param update - The update.
+     * @param appliedRevision - Revision up to which all changes are already applied.
+     * @returns The statuses that changed.
      */
-    merge(news: ZoneUpdate, known: number): readonly ZoneStatus[] {
-        const returned = news.isSnapshot && news.revision >= known ? this.missingFrom(news) : [];
-        return [...news.zones, ...returned].filter(listing => this.put(listing));
+    merge(update: ZoneUpdate, appliedRevision: number): readonly ZoneStatus[] {
+        const restored = update.isSnapshot && update.revision >= appliedRevision ? this.restoredBy(update) : [];
+        return [...update.zones, ...restored].filter(status => this.put(status));
     }
 
     /**
-     * The listings that someone lacks who knows every change up to a revision.
+     * Returns the statuses that changed after a revision.
      *
-     * @param revision - What it knows.
-     * @param isWhole - Whether it is told all zones that are out, so that the others are in service.
+     * @param revision - Revision up to which the receiver has all changes.
+     * @param isSnapshot - Whether to return all zones that are out of service instead.
      */
-    statusesSince(revision: number, isWhole: boolean): readonly ZoneStatus[] {
-        return [...this.listings.values()].filter(listing => isWhole ? listing.isOut : listing.revision > revision);
+    statusesSince(revision: number, isSnapshot: boolean): readonly ZoneStatus[] {
+        return [...this.statuses.values()].filter(status => isSnapshot ? status.isOut : status.revision > revision);
     }
 
-    /** Takes a listing over; tells whether the zone has changed by it. */
-    private put(listing: ZoneStatus): boolean {
-        const before = this.listings.get(listing.availabilityZone);
-        if (before !== undefined && before.revision >= listing.revision) {
+    /** Stores a status unless a later one is stored; returns whether the zone went out of service or back. */
+    private put(status: ZoneStatus): boolean {
+        const before = this.statuses.get(status.availabilityZone);
+        if (before !== undefined && before.revision >= status.revision) {
             return false;
         }
-        this.listings.set(listing.availabilityZone, listing);
-        return (before?.isOut ?? false) !== listing.isOut;
+        this.statuses.set(status.availabilityZone, status);
+        return (before?.isOut ?? false) !== status.isOut;
     }
 
-    /** Zones that were put back into service without anyone here having heard of it. */
-    private missingFrom({ revision, zones }: ZoneUpdate): readonly ZoneStatus[] {
+    /** Returns statuses for the zones that are out of service here and missing from a snapshot. */
+    private restoredBy({ revision, zones }: ZoneUpdate): readonly ZoneStatus[] {
         const present = new Set(zones.map(({ availabilityZone }) => availabilityZone));
-        return [...this.listings.values()]
-            .filter(listing => listing.isOut && listing.revision <= revision && !present.has(listing.availabilityZone))
+        return [...this.statuses.values()]
+            .filter(status => status.isOut && status.revision <= revision && !present.has(status.availabilityZone))
             .map(({ availabilityZone, revision: before }) => ({
                 availabilityZone,
                 revision: Math.max(before + 1, revision),
