--- a/packages/fleet/src/auto-reset-event.ts
+++ b/packages/fleet/src/auto-reset-event.ts
@@ -1,44 +1,44 @@
 /**
- * A flag that is raised when there is news, and remembers it until someone looks.
+ * An event that resets when a waiter is released.
  *
  * @packageDocumentation
  */
 
 import type { Clock } from "@harrierhitch/core";
 
-/** News that come while nobody waits are found at the next look; any number of them are one. */
+/** Wakes a waiting task; setting it several times before the next wait counts once. */
 export class AutoResetEvent {
-    private isRaised = false;
-    private wakeUp: (() => void) | undefined;
+    private isSet = false;
+    private resolveWaiter: (() => void) | undefined;
 
-    /** @param clock - The clock. */
+    /** @param clock - Clock for timeouts. */
     constructor(private readonly clock: Clock) {}
 
-    /** Says that there is news. */
+    /** Sets the event and wakes the waiter. */
     set(): void {
-        this.isRaised = true;
-        this.wakeUp?.();
+        this.isSet = true;
+        this.resolveWaiter?.();
     }
 
     /**
-     * Waits until there is news, and lowers the flag. Only one task may wait at a time.
+     * Waits until the event is set, and resets it. Only one task may wait at a time.
      *
-     * @param timeoutMs - Longest wait; none without it.
-     * @returns Whether there is news.
+     * @param timeoutMs - Maximum wait in milliseconds; unbounded if absent.
+     * @returns Whether the event was set before the timeout.
      */
     async wait(timeoutMs?: number): Promise<boolean> {
-        if (!this.isRaised) {
+        if (!this.isSet) {
             await this.waitUntilSet(timeoutMs);
         }
-        const hadNews = this.isRaised;
-        this.isRaised = false;
-        return hadNews;
+        const wasSet = this.isSet;
+        this.isSet = false;
+        return wasSet;
     }
 
     private waitUntilSet(timeoutMs: number | undefined): Promise<void> {
         return new Promise(resolve => {
             const timer = timeoutMs === undefined ? undefined : this.clock.after(timeoutMs, resolve);
-            this.wakeUp = () => {
+            this.resolveWaiter = () => {
                 timer?.cancel();
                 resolve();
             };
--- a/packages/fleet/src/configuration-message.ts
+++ b/packages/fleet/src/configuration-message.ts
@@ -1,5 +1,5 @@
 /**
- * The configuration as instances tell it to each other.
+ * The configuration in messages between instances.
  *
  * @packageDocumentation
  */
@@ -8,26 +8,26 @@
 import { type Document, DocumentSchema, type Version, VersionSchema } from "@harrierhitch/protocol";
 import type { ActiveConfiguration } from "@harrierhitch/published";
 
-/** The version of the configuration in force; number 0 without one. */
-export const versionOf = ({ current: inForce }: ActiveConfiguration): Version =>
+/** Returns the version of the active configuration; its number is 0 if there is none. */
+export const versionOf = ({ current }: ActiveConfiguration): Version =>
     create(VersionSchema, {
-        number: BigInt(inForce?.configuration.generation ?? 0),
-        hash: inForce?.configuration.hash ?? "",
+        number: BigInt(current?.configuration.generation ?? 0),
+        hash: current?.configuration.hash ?? "",
     });
 
-/** The configuration, if another instance lacks it by the version it told. */
-export const missingDocuments = (accepted: ActiveConfiguration, other: Version | undefined): Document[] => {
-    const { current: inForce } = accepted;
-    const version = versionOf(accepted);
-    return inForce !== undefined && isAhead(version, other)
-        ? [create(DocumentSchema, { version, text: inForce.text })]
+/** Returns the active configuration if it takes precedence over the version of another instance. */
+export const missingDocuments = (activeConfiguration: ActiveConfiguration, remote: Version | undefined): Document[] => {
+    const { current } = activeConfiguration;
+    const version = versionOf(activeConfiguration);
+    return current !== undefined && takesPrecedence(version, remote)
+        ? [create(DocumentSchema, { version, text: current.text })]
         : [];
 };
 
-/** Of two contents under one generation the lower hash wins. */
-const isAhead = (own: Version, other: Version | undefined): boolean => {
-    if (other === undefined || own.number !== other.number) {
-        return own.number > (other?.number ?? 0n);
+/** Whether the local version replaces a remote one; at the same generation the lower hash wins. */
+const takesPrecedence = (local: Version, remote: Version | undefined): boolean => {
+    if (remote === undefined || local.number !== remote.number) {
+        return local.number > (remote?.number ?? 0n);
     }
-    return own.hash < other.hash;
+    return local.hash < remote.hash;
 };
--- a/packages/fleet/src/contact-peers.ts
+++ b/packages/fleet/src/contact-peers.ts
@@ -1,5 +1,5 @@
 /**
- * Hearing other instances at the start.
+ * The first contact with other instances after a start or a stall.
  *
  * @packageDocumentation
  */
@@ -16,23 +16,23 @@
     readonly calls: PeerCalls;
     readonly members: Members;
     readonly seeds: Seeds;
-    /** Longest wait. */
+    /** Maximum wait in milliseconds. */
     readonly timeoutMs: number;
     /** Ends the wait. */
     readonly signal: AbortSignal;
 }
 
-/** Members that are asked at the start. */
-const linksAtStart = 4;
+/** Peers that are contacted in parallel. */
+const peersPerAttempt = 4;
 
-/** Pause between two rounds of asking at the start. */
-const hearRetryMs = 50;
+/** Delay before the next attempt, in milliseconds. */
+const retryDelayMs = 50;
 
 /**
- * Asks members, or seeds while none is known, until one answers.
+ * Exchanges state with members, or with seeds if no member is known, until one responds.
  *
- * @param options - Whom to ask, and for how long.
- * @returns Whether one was heard, or there is nobody to hear.
+ * @param options - The peers and the timeout.
+ * @returns Whether one responded, or there are no peers.
  */
 export const contactPeers = async (
     { clock, calls, members, seeds, timeoutMs, signal }: ContactPeersOptions,
@@ -44,11 +44,11 @@
         if (peers.length === 0) {
             return true;
         }
-        const heard = await Promise.all(peers.slice(0, linksAtStart).map(peer => calls.exchangeWith(peer, "search")));
-        if (heard.includes(true)) {
+        const responded = await Promise.all(peers.slice(0, peersPerAttempt).map(peer => calls.exchangeWith(peer, "search")));
+        if (responded.includes(true)) {
             return true;
         }
-        await sleep(clock, hearRetryMs, signal);
+        await sleep(clock, retryDelayMs, signal);
     }
     return false;
 };
--- a/packages/fleet/src/crash-message.ts
+++ b/packages/fleet/src/crash-message.ts
@@ -1,5 +1,5 @@
 /**
- * Runs that ended with their upstreams, as instances tell them to each other.
+ * Crash records and quarantines in messages between instances.
  *
  * @packageDocumentation
  */
@@ -14,26 +14,26 @@
     type ExchangeResponse,
 } from "@harrierhitch/protocol";
 
-/** What one message tells of runs that ended with their upstreams. */
+/** The fields of a message with crash records and quarantined requests. */
 export type CrashRecords = Pick<ExchangeRequest | ExchangeResponse, "endedRuns" | "withheld">;
 
 /**
- * Writes what an instance lacks.
+ * Encodes the crash records that another instance may lack.
  *
- * @param ledger - What this instance remembers.
- * @param nowMs - The time on its clock.
- * @param other - What the other one has said that it withholds.
- * @param isBrief - Whether to leave out what is only new.
+ * @param history - Crash history of this instance.
+ * @param nowMs - Time on this instance's clock, in milliseconds.
+ * @param remoteQuarantines - Requests that the other instance quarantines.
+ * @param isDelta - Whether to omit records that no quarantine is missing for.
  */
 export const encodeCrashRecords = (
-    ledger: CrashHistory,
+    history: CrashHistory,
     nowMs: number,
-    other: readonly RequestSignature[],
-    isBrief: boolean,
+    remoteQuarantines: readonly RequestSignature[],
+    isDelta: boolean,
 ): CrashRecords => ({
-    withheld: [...ledger.quarantined],
-    endedRuns: ledger.recentEntries(other, isBrief).map((
-        { id, key, upstream, endedAtMs, endedAtUnixMs, ranMs, hasSucceeded: isAnswered, succeededMasks: answeredAlike },
+    withheld: [...history.quarantined],
+    endedRuns: history.recentEntries(remoteQuarantines, isDelta).map((
+        { id, key, upstream, endedAtMs, endedAtUnixMs, ranMs, hasSucceeded, succeededMasks },
     ) => create(EndedRunSchema, {
         id,
         key,
@@ -41,23 +41,23 @@
         ageMs: nowMs - endedAtMs,
         endedAtUnixMs: BigInt(endedAtUnixMs),
         ranMs,
-        answered: isAnswered,
-        answeredAlike,
+        answered: hasSucceeded,
+        answeredAlike: succeededMasks,
     })),
 });
 
 /**
- * Takes in what another instance told.
+ * Merges crash records received from another instance.
  *
- * @param ledger - What this instance remembers.
- * @param news - What the other one told.
- * @param nowMs - The time on this instance's clock.
- * @returns Whether anything was new.
+ * @param history - Crash history of this instance.
+ * @param records - The received records.
+ * @param nowMs - Time on this instance's clock, in milliseconds.
+ * @returns Whether the history changed.
  */
-export const mergeCrashRecords = (ledger: CrashHistory, { endedRuns, withheld }: CrashRecords, nowMs: number): boolean =>
-    ledger.merge(endedRuns.map(message => readEndedRun(message, nowMs)), withheld);
+export const mergeCrashRecords = (history: CrashHistory, { endedRuns, withheld }: CrashRecords, nowMs: number): boolean =>
+    history.merge(endedRuns.map(message => decodeCrashRecord(message, nowMs)), withheld);
 
-const readEndedRun = (message: EndedRunMessage, nowMs: number): CrashRecord => {
+const decodeCrashRecord = (message: EndedRunMessage, nowMs: number): CrashRecord => {
     const { id, key, upstream, ageMs, endedAtUnixMs, ranMs, answered, answeredAlike } = message;
     return {
         id,
--- a/packages/fleet/src/directory-message.ts
+++ b/packages/fleet/src/directory-message.ts
@@ -1,5 +1,5 @@
 /**
- * The directory of listed upstreams as instances tell it to each other.
+ * The upstream directory in messages between instances.
  *
  * @packageDocumentation
  */
@@ -9,49 +9,53 @@
 import { type DirectoryUpdate, toDirectoryEntry, type UpstreamDirectory } from "@harrierhitch/published";
 
 /**
- * Writes what an instance lacks of a directory.
+ * Encodes the changes of a directory after a revision.
  *
  * @param directory - The directory.
- * @param ageMs - How old what it knows is; `undefined` when that is not known.
- * @param revision - What the other instance knows; infinite tells the revision only.
+ * @param stalenessMs - Staleness of the directory in milliseconds; `undefined` if it was never confirmed.
+ * @param sinceRevision - Revision of the receiver; infinite to send only the revision and the staleness.
  */
-export const encodeDirectory = (directory: UpstreamDirectory, ageMs: number | undefined, revision: number): Directory => {
-    const known = { revision: BigInt(directory.revision), ageMs: ageMs ?? -1 };
-    if (directory.revision <= revision) {
-        return create(DirectorySchema, { ...known, complete: revision < Infinity });
+export const encodeDirectory = (
+    directory: UpstreamDirectory,
+    stalenessMs: number | undefined,
+    sinceRevision: number,
+): Directory => {
+    const header = { revision: BigInt(directory.revision), ageMs: stalenessMs ?? -1 };
+    if (directory.revision <= sinceRevision) {
+        return create(DirectorySchema, { ...header, complete: sinceRevision < Infinity });
     }
-    const { isSnapshot: whole, entries: listings, zones } = directory.updatesSince(revision);
+    const { isSnapshot, entries, zones } = directory.updatesSince(sinceRevision);
     return create(DirectorySchema, {
-        ...known,
-        whole,
+        ...header,
+        whole: isSnapshot,
         complete: true,
-        listings: listings.map(({ upstream, revision: at, text, unconfirmedMs: doubtedMs = 0 }) =>
+        listings: entries.map(({ upstream, revision, text, unconfirmedMs = 0 }) =>
             create(ListingSchema, {
                 upstream,
-                revision: BigInt(at),
+                revision: BigInt(revision),
                 text: text ?? "",
                 removed: text === undefined,
-                doubtedMs,
+                doubtedMs: unconfirmedMs,
             })
         ),
-        zones: zones.map(({ availabilityZone, revision: at, isOut }) =>
-            create(ZoneListingSchema, { availabilityZone, revision: BigInt(at), outOfService: isOut })
+        zones: zones.map(({ availabilityZone, revision, isOut }) =>
+            create(ZoneListingSchema, { availabilityZone, revision: BigInt(revision), outOfService: isOut })
         ),
     });
 };
 
-/** Reads what another instance told of its directory; `undefined` when it told its revision only. */
+/** Decodes the directory of another instance; `undefined` if the message holds only its revision and staleness. */
 export const decodeDirectory = ({ complete, revision, whole, listings, zones }: Directory): DirectoryUpdate | undefined =>
     complete
         ? {
             revision: Number(revision),
             isSnapshot: whole,
-            entries: listings.map(({ upstream, revision: at, text, removed, doubtedMs }) =>
-                toDirectoryEntry(upstream, Number(at), removed ? undefined : text, doubtedMs)
+            entries: listings.map(({ upstream, revision: entryRevision, text, removed, doubtedMs }) =>
+                toDirectoryEntry(upstream, Number(entryRevision), removed ? undefined : text, doubtedMs)
             ),
-            zones: zones.map(({ availabilityZone, revision: at, outOfService }) => ({
+            zones: zones.map(({ availabilityZone, revision: zoneRevision, outOfService }) => ({
                 availabilityZone,
-                revision: Number(at),
+                revision: Number(zoneRevision),
                 isOut: outOfService,
             })),
         }
--- a/packages/fleet/src/distribution-roles.ts
+++ b/packages/fleet/src/distribution-roles.ts
@@ -1,5 +1,5 @@
 /**
- * Where an instance has what the platform published from: the platform, the readers, or a relay.
+ * The roles of members in the distribution of the published state: readers, relays and subscribers.
  *
  * @packageDocumentation
  */
@@ -15,50 +15,48 @@
     readonly clock: Clock;
     readonly members: Members;
     readonly times: FleetTimes;
-    /** Whether this instance may read before it knows the others: as a seed, whom all ask first, or where there is none. */
-    readonly readsFromStart: () => boolean;
+    /** Whether this instance may read the platform before it knows the other members: it is a seed, or there are no seeds. */
+    readonly mayReadAtStart: () => boolean;
 }
 
-/** A member that did not answer. */
-interface Avoided {
+/** Backoff of a member that did not respond. */
+interface PeerBackoff {
     readonly untilMs: number;
-    /** Time for which it is passed over. */
-    readonly forMs: number;
+    readonly durationMs: number;
 }
 
 /**
- * Share of the members that answer which has to say that it reaches the platform, so that those who do not are passed over as readers.
- * When fewer say so, the platform is away for all rather than for some, and one try after the other through the whole fleet would
- * only cost calls.
+ * Minimum share of the responsive members that must report the platform as reachable for the others to be excluded as
+ * readers. Below it the platform is considered unavailable to all, and trying further readers would only add calls.
  */
-const fewestReachableShare = 0.25;
+const minimumReachableShare = 0.25;
 
-/** Readers and relays as they were found at some moment. */
-interface Sources {
+/** Readers and relays as selected at some time. */
+interface RoleAssignment {
     readonly readers: readonly Member[];
     readonly relays: readonly Member[];
-    /** The role of this instance by these. */
-    readonly own: Role;
-    /** What was known of members. */
+    /** The role of this instance. */
+    readonly localRole: Role;
+    /** Version of the membership. */
     readonly version: number;
     readonly atMs: number;
 }
 
-/** Time after which they are looked for anew although nothing was learned: members that fall silent are noticed by it. */
-const rememberMs = 1000;
+/** Maximum age of a cached assignment in milliseconds; bounds the time until unresponsive members are replaced. */
+const maximumCacheAgeMs = 1000;
 
-/** Longest time for which a member that did not answer is passed over. */
-const maximumAvoidMs = 30_000;
+/** Maximum backoff of a member that did not respond, in milliseconds. */
+const maximumPeerBackoffMs = 30_000;
 
-/** Questions by which an instance was asked as a source count for so many times of the longest answer. */
-const askedShare = 2;
+/** Duration, in long polls, for which an instance keeps a role after it was last polled in that role. */
+const roleRequestLongPolls = 2;
 
-/** Finds readers and relays among the members that live, answer and reach the platform. */
+/** Selects readers and relays among the members that are alive, responsive and able to reach the platform. */
 export class DistributionRoles {
-    private readonly avoided = new Map<string, Avoided>();
-    private readonly askedAtMs = new Map<Role, number>();
-    private found: Sources | undefined;
-    /** When this instance began to talk to others. */
+    private readonly backedOff = new Map<string, PeerBackoff>();
+    private readonly roleRequestedAtMs = new Map<Role, number>();
+    private cached: RoleAssignment | undefined;
+    /** When this instance joined the fleet, on its clock. */
     readonly joinedAtMs: number;
 
     /** @param options - Members and times. */
@@ -66,106 +64,103 @@
         this.joinedAtMs = options.clock.nowMs();
     }
 
-    /** The readers of the fleet, by what this instance knows. */
+    /** The readers of the fleet. */
     get readers(): readonly Member[] {
-        return this.sources.readers;
+        return this.assignment.readers;
     }
 
     /** The relays of this instance's availability zone. */
     get relays(): readonly Member[] {
-        return this.sources.relays;
+        return this.assignment.relays;
     }
 
-    /** The role of this instance. */
-    get own(): Role {
-        if (this.isAskedAs(Role.READER)) {
+    /** The role of this instance, which includes a role in which other instances poll it. */
+    get localRole(): Role {
+        if (this.isRequestedAs(Role.READER)) {
             return Role.READER;
         }
-        const { own } = this.sources;
-        return own === Role.UNSPECIFIED && this.isAskedAs(Role.RELAY) ? Role.RELAY : own;
+        const { localRole } = this.assignment;
+        return localRole === Role.UNSPECIFIED && this.isRequestedAs(Role.RELAY) ? Role.RELAY : localRole;
     }
 
     /** Whether this instance reads the platform. */
     get isReader(): boolean {
-        return this.own === Role.READER;
+        return this.localRole === Role.READER;
     }
 
-    /** Whether this instance passes on to its availability zone what readers tell. */
+    /** Whether this instance forwards changes from readers to its availability zone. */
     get isRelay(): boolean {
-        return this.own === Role.RELAY;
+        return this.localRole === Role.RELAY;
     }
 
-    /** Whether others may rely on what this instance reads. */
+    /** Whether other instances may depend on what this instance reads. */
     get hasSubscribers(): boolean {
         return this.options.members.alive.length > 1;
     }
 
-    /** Notes that another instance takes this one for a source of some role. */
+    /** Records that another instance polled this one in a role. */
     recordRoleRequest(role: Role): void {
-        this.askedAtMs.set(role, this.options.clock.nowMs());
+        this.roleRequestedAtMs.set(role, this.options.clock.nowMs());
     }
 
     /**
-     * Passes over a member that did not answer.
+     * Excludes a member that did not respond, with exponential backoff.
      *
-     * @returns Whether it was a reader or a relay, so that another one has to be found.
+     * @returns Whether it was a reader or a relay, which has to be replaced.
      */
     backOff({ instance }: Member): boolean {
         const { clock, times } = this.options;
-        const wasSource = [...this.readers, ...this.relays].some(source => source.instance === instance);
-        const before = this.avoided.get(instance);
-        const forMs = before === undefined ? times.peerBackoffMs : Math.min(maximumAvoidMs, before.forMs * 2);
-        this.avoided.set(instance, { untilMs: clock.nowMs() + forMs, forMs });
-        this.found = undefined;
-        return wasSource;
+        const wasDistributor = [...this.readers, ...this.relays].some(distributor => distributor.instance === instance);
+        const before = this.backedOff.get(instance);
+        const durationMs = before === undefined ? times.peerBackoffMs : Math.min(maximumPeerBackoffMs, before.durationMs * 2);
+        this.backedOff.set(instance, { untilMs: clock.nowMs() + durationMs, durationMs });
+        this.cached = undefined;
+        return wasDistributor;
     }
 
-    /** Notes that a member answered. */
+    /** Records that a member responded, which ends its backoff. */
     recordResponse(instance: string): void {
-        if (this.avoided.delete(instance)) {
-            this.found = undefined;
+        if (this.backedOff.delete(instance)) {
+            this.cached = undefined;
         }
     }
 
-    /**
-     * The sources as far as they are known. They are looked for several times a second, so they are found anew only when
-     * something was learned of members, or after a while.
-     */
-    private get sources(): Sources {
+    /** The current assignment; cached until the membership changes or {@link maximumCacheAgeMs} has passed. */
+    private get assignment(): RoleAssignment {
         const { clock, members } = this.options;
         const nowMs = clock.nowMs();
-        const { found } = this;
-        if (found?.version === members.version && nowMs - found.atMs < rememberMs) {
-            return found;
+        const { cached } = this;
+        if (cached?.version === members.version && nowMs - cached.atMs < maximumCacheAgeMs) {
+            return cached;
         }
-        const answering = members.alive.filter(({ instance }) => (this.avoided.get(instance)?.untilMs ?? 0) <= nowMs);
-        const readers = selectReaders(this.ableAmong(answering));
-        const relays = selectRelays(members.self.availabilityZone, answering, readers);
-        const isAmong = (sources: readonly Member[]): boolean =>
-            sources.some(({ instance }) => instance === members.self.instance);
-        const inZone = isAmong(relays) ? Role.RELAY : Role.UNSPECIFIED;
-        const own = isAmong(readers) ? Role.READER : inZone;
-        this.found = { readers, relays, own, version: members.version, atMs: nowMs };
-        return this.found;
+        const responsive = members.alive.filter(({ instance }) => (this.backedOff.get(instance)?.untilMs ?? 0) <= nowMs);
+        const readers = selectReaders(this.eligibleReaders(responsive));
+        const relays = selectRelays(members.self.availabilityZone, responsive, readers);
+        const includesSelf = (distributors: readonly Member[]): boolean =>
+            distributors.some(({ instance }) => instance === members.self.instance);
+        const roleInZone = includesSelf(relays) ? Role.RELAY : Role.UNSPECIFIED;
+        const localRole = includesSelf(readers) ? Role.READER : roleInZone;
+        this.cached = { readers, relays, localRole, version: members.version, atMs: nowMs };
+        return this.cached;
     }
 
-    /** The members that may read. */
-    private ableAmong(answering: readonly Member[]): readonly Member[] {
+    /** Returns the members that may be readers. */
+    private eligibleReaders(responsive: readonly Member[]): readonly Member[] {
         const { self } = this.options.members;
-        const reachable = answering.filter(({ instance, platformReachable }) => instance === self.instance || platformReachable);
-        const isAway = reachable.length < answering.length * fewestReachableShare;
-        const able = isAway ? answering : reachable;
-        return this.isSettled || able.length === 1 ? able : able.filter(({ instance }) => instance !== self.instance);
+        const reachable = responsive.filter(({ instance, platformReachable }) => instance === self.instance || platformReachable);
+        const isUnavailable = reachable.length < responsive.length * minimumReachableShare;
+        const eligible = isUnavailable ? responsive : reachable;
+        return this.isSettled || eligible.length === 1 ? eligible : eligible.filter(({ instance }) => instance !== self.instance);
     }
 
-    /** Whether this instance has had time to hear of the others. */
+    /** Whether this instance has had time to discover the other members. */
     private get isSettled(): boolean {
-        const { clock, times, readsFromStart } = this.options;
-        return clock.nowMs() - this.joinedAtMs >= times.settleMs || readsFromStart();
+        const { clock, times, mayReadAtStart } = this.options;
+        return clock.nowMs() - this.joinedAtMs >= times.settleMs || mayReadAtStart();
     }
 
-    private isAskedAs(role: Role): boolean {
+    private isRequestedAs(role: Role): boolean {
         const { clock, times } = this.options;
-        return clock.nowMs() - (this.askedAtMs.get(role) ?? -Infinity) < askedShare * times.longPollMs;
+        return clock.nowMs() - (this.roleRequestedAtMs.get(role) ?? -Infinity) < roleRequestLongPolls * times.longPollMs;
     }
 }
--- a/packages/fleet/src/drain-gossip.ts
+++ b/packages/fleet/src/drain-gossip.ts
@@ -1,32 +1,31 @@
 /**
- * Observations of upstreams that are passed on from instance to instance.
+ * Gossip about draining upstreams.
  *
- * An observation is a fact that no clock orders: one start of an upstream leaves. Facts of one upstream are ordered by
- * its starts alone, so any order and any number of deliveries ends in the same state, and each instance takes each fact
- * as news once. Ages only end the passing on: ordered by them, a few observers of one departure would keep all instances telling
- * each other for good.
+ * A drain message states that one incarnation of an upstream drains. Messages about an upstream are ordered by the start
+ * of the incarnation only, so the state converges whatever the order and number of deliveries, and each instance forwards
+ * a message once. The age of a message only limits how long it is gossiped.
  *
  * @packageDocumentation
  */
 
 import { create } from "@bufbuild/protobuf";
 import type { Clock } from "@harrierhitch/core";
-import { type Observation, ObservationSchema } from "@harrierhitch/protocol";
+import { type Observation as ObservationMessage, ObservationSchema } from "@harrierhitch/protocol";
 
-/** What another instance learned: that a start of an upstream leaves. */
+/** A message from another instance that an incarnation of an upstream drains. */
 export interface DrainMessage {
     readonly upstream: string;
-    /** The start that leaves, in milliseconds since the Unix epoch; 0 when it is not known. */
+    /** Start of the incarnation in milliseconds since the Unix epoch; 0 if unknown. */
     readonly startedAtMs: number;
-    /** When it was learned, on this instance's clock. */
+    /** When the draining was observed, on this instance's clock. */
     readonly atMs: number;
 }
 
-interface Kept {
+interface DrainRecord {
     readonly startedAtMs: number;
-    readonly learnedAtMs: number;
-    /** When this instance took it in: what it forgets by, whatever age it was told. */
-    readonly takenAtMs: number;
+    readonly observedAtMs: number;
+    /** When this instance recorded it; determines its retention, whatever the age in the message. */
+    readonly recordedAtMs: number;
 }
 
 /** Options of {@link DrainGossip}. */
@@ -34,73 +33,70 @@
     readonly clock: Clock;
 }
 
-/** Time for which an observation is passed on: longer than any exchange takes to reach everyone. */
-const passOnMs = 10_000;
+/** Time for which a message is gossiped, in milliseconds; longer than it takes to reach all instances. */
+const gossipMs = 10_000;
 
-/**
- * Time for which an observation is remembered: far longer than it is passed on, since the time on its way is not part
- * of the age that is told. One that comes back late is then still known everywhere.
- */
-const rememberMs = 60_000;
+/** Time for which a message is retained, in milliseconds; longer than it is gossiped, so that delayed copies are recognised. */
+const retentionMs = 60_000;
 
-/** Most observations in one exchange, which bounds their bytes; the latest go first. */
+/** Maximum number of messages in one exchange; the latest are sent. */
 const maximumPerExchange = 32;
 
-/** Keeps, of each upstream, the latest start that is known to leave. */
+/** Stores the latest draining incarnation of each upstream. */
 export class DrainGossip {
-    private readonly kept = new Map<string, Kept>();
+    private readonly records = new Map<string, DrainRecord>();
 
     /** @param options - The clock. */
     constructor(private readonly options: DrainGossipOptions) {}
 
     /**
-     * Notes what this instance learned itself.
+     * Records a draining upstream that this instance observed itself.
      *
-     * @param upstream - The upstream.
-     * @param startedAtMs - The start that leaves, in milliseconds since the Unix epoch; 0 when it is not known.
-     * @returns Whether it was not known.
+     * @param upstream - Id of the upstream.
+     * @param startedAtMs - Start of its incarnation in milliseconds since the Unix epoch; 0 if unknown.
+     * @returns Whether it was not recorded before.
      */
     record(upstream: string, startedAtMs: number): boolean {
         return this.put(upstream, startedAtMs, this.options.clock.nowMs());
     }
 
-    /** The observations that are told in an exchange, with their ages. */
-    pending(): readonly Observation[] {
+    /** Returns the messages to send in an exchange, with their ages. */
+    pending(): readonly ObservationMessage[] {
         const nowMs = this.options.clock.nowMs();
-        return [...this.kept]
-            .filter(([, { learnedAtMs }]) => nowMs - learnedAtMs < passOnMs)
-            .sort(([, a], [, b]) => b.learnedAtMs - a.learnedAtMs)
+        return [...this.records]
+            .filter(([, { observedAtMs }]) => nowMs - observedAtMs < gossipMs)
+            .sort(([, a], [, b]) => b.observedAtMs - a.observedAtMs)
             .slice(0, maximumPerExchange)
-            .map(([upstream, { startedAtMs, learnedAtMs }]) =>
-                create(ObservationSchema, { upstream, startedAtMs: BigInt(startedAtMs), ageMs: nowMs - learnedAtMs })
+            .map(([upstream, { startedAtMs, observedAtMs }]) =>
+                create(ObservationSchema, { upstream, startedAtMs: BigInt(startedAtMs), ageMs: nowMs - observedAtMs })
             );
     }
 
-    /** Takes in observations; gives those that were not known. */
-    merge(observations: readonly Observation[]): readonly DrainMessage[] {
-        this.forgetOld();
+    /** Merges received messages; returns those that were not recorded before. */
+    merge(messages: readonly ObservationMessage[]): readonly DrainMessage[] {
+        this.evictExpired();
         const nowMs = this.options.clock.nowMs();
-        return observations.flatMap(({ upstream, startedAtMs: started, ageMs }) => {
-            const startedAtMs = Number(started);
+        return messages.flatMap(({ upstream, startedAtMs: startedAt, ageMs }) => {
+            const startedAtMs = Number(startedAt);
             const atMs = nowMs - Math.max(0, ageMs);
             return this.put(upstream, startedAtMs, atMs) ? [{ upstream, startedAtMs, atMs }] : [];
         });
     }
 
-    private put(upstream: string, startedAtMs: number, learnedAtMs: number): boolean {
-        const known = this.kept.get(upstream);
-        if (known !== undefined && known.startedAtMs >= startedAtMs) {
+    private put(upstream: string, startedAtMs: number, observedAtMs: number): boolean {
+        const existing = this.records.get(upstream);
+        if (existing !== undefined && existing.startedAtMs >= startedAtMs) {
             return false;
         }
-        this.kept.set(upstream, { startedAtMs, learnedAtMs, takenAtMs: this.options.clock.nowMs() });
+        this.records.set(upstream, { startedAtMs, observedAtMs, recordedAtMs: this.options.clock.nowMs() });
         return true;
     }
 
-    private forgetOld(): void {
-        const oldestMs = this.options.clock.nowMs() - rememberMs;
-        this.kept.forEach(({ takenAtMs }, upstream) => {
-            if (takenAtMs < oldestMs) {
-                this.kept.delete(upstream);
+    private evictExpired(): void {
+        const oldestMs = this.options.clock.nowMs() - retentionMs;
+        this.records.forEach(({ recordedAtMs }, upstream) => {
+            if (recordedAtMs < oldestMs) {
+                this.records.delete(upstream);
             }
         });
     }
--- a/packages/fleet/src/exchange-call.ts
+++ b/packages/fleet/src/exchange-call.ts
@@ -1,27 +1,27 @@
 /**
- * How one exchange between two instances is done, and what it showed.
+ * Options and result of one exchange with another instance.
  *
  * @packageDocumentation
  */
 
 import type { ExchangeRequest, ExchangeResponse, Role } from "@harrierhitch/protocol";
 
-/** How an exchange is done. */
+/** Options of one exchange. */
 export interface ExchangeCallOptions {
-    /** Longest time for which the other instance may wait for something new to tell. */
+    /** Maximum time in milliseconds for which the other instance may wait for a change before it responds. */
     readonly longPollMs?: number;
-    /** Whether observations are left out. */
+    /** Whether to send recent changes only, without the pending drain messages. */
     readonly isDelta?: boolean;
-    /** What the other instance is asked as. */
+    /** The role in which the other instance is polled. */
     readonly role?: Role;
-    /** The other instance, where it is known. */
+    /** Id of the other instance, if known. */
     readonly receiver?: string;
 }
 
-/** What an exchange showed of the other instance. */
+/** Result of one exchange. */
 export interface ExchangeResult {
     readonly instance: string;
-    /** Age of what it knows, on this instance's clock; infinite where it lacks something that this instance knows. */
+    /** Staleness of the other instance's state, on this instance's clock; infinite if it lacks changes that this instance has. */
     readonly stalenessMs: number;
 }
 
--- a/packages/fleet/src/exchange-reason.ts
+++ b/packages/fleet/src/exchange-reason.ts
@@ -1,13 +1,13 @@
 /**
- * Why an exchange with another instance is made.
+ * Reasons for an exchange with another instance.
  *
  * @packageDocumentation
  */
 
 /**
- * - `question`: a source is asked, and may keep its answer back until there is something new.
- * - `interval`: the time between two exchanges over a link has passed.
- * - `news`: something has come up that the other one may lack.
- * - `search`: others are looked for: seeds, and members that did not answer.
+ * - `question`: A long poll of a reader or relay.
+ * - `interval`: The interval of the link has passed.
+ * - `news`: There is a change that the other instance may lack.
+ * - `search`: Discovery by contacting a seed or a member that did not respond.
  */
 export type ExchangeReason = "question" | "interval" | "news" | "search";
--- a/packages/fleet/src/exchange.ts
+++ b/packages/fleet/src/exchange.ts
@@ -1,21 +1,12 @@
 /**
- * The exchange of news between two instances.
+ * The exchange of state between two instances.
  *
  * @packageDocumentation
  */
 
 import { create } from "@bufbuild/protobuf";
-import {
-    type Directory,
-    type Document,
-    type ExchangeRequest,
-    ExchangeRequestSchema,
-    type ExchangeResponse,
-    ExchangeResponseSchema,
-    type Member,
-    type MemberCursor,
-    Role,
-} from "@harrierhitch/protocol";
+import type { Directory, Document, ExchangeRequest, ExchangeResponse, Member, MemberCursor } from "@harrierhitch/protocol";
+import { ExchangeRequestSchema, ExchangeResponseSchema, Role } from "@harrierhitch/protocol";
 import { missingDocuments, versionOf } from "./configuration-message.js";
 import { encodeCrashRecords, mergeCrashRecords } from "./crash-message.js";
 import { decodeDirectory, encodeDirectory } from "./directory-message.js";
@@ -28,7 +19,7 @@
 import type { Members } from "./members.js";
 import { notifyShare, type StalenessTracker } from "./staleness-tracker.js";
 
-/** Options of {@link Exchange}; those of the fleet mean the same there. */
+/** Options of {@link Exchange}; see {@link FleetOptions} for the inherited ones. */
 export interface ExchangeOptions extends
     Pick<
         FleetOptions,
@@ -42,80 +33,80 @@
         | "onDirectory"
         | "onDrainMessage"
     > {
-    /** How old what is told is; brought up to date by what is heard. */
-    readonly freshness: StalenessTracker;
-    /** Time between two confirmations: knowledge that is older may have been confirmed meanwhile. */
+    /** Staleness of the local state, which is sent to peers and updated from their responses. */
+    readonly stalenessTracker: StalenessTracker;
+    /** Interval between two confirmations by a reader. */
     readonly confirmMs: number;
     readonly members: Members;
     readonly roles: DistributionRoles;
-    readonly rumors: DrainGossip;
-    /** Told when an exchange brought something that others should hear at once. */
-    readonly onNews: (reach: GossipScope) => void;
-    /** Told of members that have just said that they leave. */
+    readonly drainGossip: DrainGossip;
+    /** Called when an exchange brought changes that other peers should receive at once. */
+    readonly onUpdate: (scope: GossipScope) => void;
+    /** Called with the members that have just announced that they leave. */
     readonly onLeaving: (leaving: readonly Member[]) => void;
 }
 
-/** Longest time for which an answer is kept back, whatever is asked for. */
-const maximumWaitMs = 5000;
+/** Maximum duration of a long poll, whatever the request specifies. */
+const maximumLongPollMs = 5000;
 
-/** Tells and takes in news, as the asking and as the asked side. */
+/** Sends and merges state as the client and as the server of exchanges. */
 export class Exchange {
-    /** How far this instance has heard the news of members of each other one. */
-    private readonly heard = new Map<string, MemberCursor>();
-    /** How far it has told each of them its own. */
-    private readonly told = new Map<string, MemberCursor>();
-    /** What each of them has said that it withholds. */
-    private readonly withheld = new Map<string, readonly string[]>();
-    /** What each of them lacked of what is withheld when it was last told of it at once. */
-    private readonly hurried = new Map<string, string>();
+    /** Position up to which each peer's membership updates were received. */
+    private readonly receivedCursors = new Map<string, MemberCursor>();
+    /** Position up to which the local membership updates were sent to each peer. */
+    private readonly sentCursors = new Map<string, MemberCursor>();
+    /** Requests that each peer quarantines. */
+    private readonly quarantines = new Map<string, readonly string[]>();
+    /** Quarantines that each peer lacked when its long poll was last answered at once because of them. */
+    private readonly notifiedQuarantines = new Map<string, string>();
 
-    /** @param options - What is told and taken in. */
+    /** @param options - Local state and callbacks. */
     constructor(private readonly options: ExchangeOptions) {}
 
     /**
-     * Exchanges news with one instance; documents that it lacks follow in a second request.
+     * Exchanges state with one instance. Documents and directory changes that it lacks follow in a second request.
      *
-     * @param send - Sends a request to it.
-     * @param manner - How it is done.
-     * @returns Who answered, and how old its knowledge is.
+     * @param send - Sends a request to the instance.
+     * @param callOptions - Options of the exchange.
+     * @returns The instance that responded, and the staleness of its state.
      */
-    async initiate(send: SendExchange, manner: ExchangeCallOptions = {}): Promise<ExchangeResult> {
+    async initiate(send: SendExchange, callOptions: ExchangeCallOptions = {}): Promise<ExchangeResult> {
         const { clock } = this.options;
-        const askedAtMs = clock.nowMs();
-        const { request, told } = this.request([], this.directoryFor(Infinity), manner);
+        const startedAtMs = clock.nowMs();
+        const { request, sentCursor } = this.request([], this.directoryMessage(Infinity), callOptions);
         const response = await send(request);
         const instance = response.sender?.instance ?? "";
-        this.told.set(instance, told);
-        this.takeIn(instance, response, manner.role !== undefined && manner.role !== Role.UNSPECIFIED);
-        const ageMs = this.takeInAge(response, Math.max(0, clock.nowMs() - askedAtMs - response.heldMs));
+        this.sentCursors.set(instance, sentCursor);
+        this.merge(instance, response, callOptions.role !== undefined && callOptions.role !== Role.UNSPECIFIED);
+        const stalenessMs = this.mergeStaleness(response, Math.max(0, clock.nowMs() - startedAtMs - response.heldMs));
         const documents = missingDocuments(this.options.activeConfiguration, response.configuration);
-        const directory = this.directoryFor(Number(response.directory?.revision ?? 0n));
+        const directory = this.directoryMessage(Number(response.directory?.revision ?? 0n));
         if (documents.length > 0 || directory.listings.length > 0) {
             const second = this.request(documents, directory, { receiver: instance });
-            this.takeIn(instance, await send(second.request));
+            this.merge(instance, await send(second.request));
         }
-        return { instance, stalenessMs: ageMs };
+        return { instance, stalenessMs };
     }
 
-    /** Answers the exchange of another instance, at once where it lacks something. */
+    /** Responds to the exchange of another instance: at once if it lacks changes, otherwise after its long poll. */
     async respond(request: ExchangeRequest): Promise<ExchangeResponse> {
-        const asking = request.sender?.instance ?? "";
-        this.takeIn(asking, request);
-        const { clock, members, roles, rumors, crashes, limits, freshness } = this.options;
+        const requester = request.sender?.instance ?? "";
+        this.merge(requester, request);
+        const { clock, members, roles, drainGossip, crashes, limits, stalenessTracker } = this.options;
         if (request.role !== Role.UNSPECIFIED) {
             roles.recordRoleRequest(request.role);
         }
-        const waits = request.waitMs > 0 && !this.isBehind(request) && !this.lacksWithheld(asking, request.withheld);
-        const heldMs = waits ? await freshness.waitForChange(Math.min(request.waitMs, maximumWaitMs)) : 0;
-        const news = members.updatesSince(request.heard, asking);
+        const waits = request.waitMs > 0 && !this.isBehind(request) && !this.lacksQuarantine(requester, request.withheld);
+        const heldMs = waits ? await stalenessTracker.waitForChange(Math.min(request.waitMs, maximumLongPollMs)) : 0;
+        const updates = members.updatesSince(request.heard, requester);
         return create(ExchangeResponseSchema, {
             sender: members.self,
-            members: [...news.members],
-            told: news.told,
+            members: [...updates.members],
+            told: updates.cursor,
             configuration: versionOf(this.options.activeConfiguration),
             configurationDocuments: missingDocuments(this.options.activeConfiguration, request.configuration),
-            observations: request.brief ? [] : [...rumors.pending()],
-            directory: this.directoryFor(Number(request.directory?.revision ?? 0n)),
+            observations: request.brief ? [] : [...drainGossip.pending()],
+            directory: this.directoryMessage(Number(request.directory?.revision ?? 0n)),
             heldMs,
             limits: encodeLimits(limits, request.brief),
             ...encodeCrashRecords(crashes, clock.nowMs(), request.withheld, request.brief),
@@ -123,27 +114,24 @@
     }
 
     /**
-     * Whether an instance that asks lacks something, or could be told at once that its knowledge is much younger than it
-     * seems. A little younger is not enough: its next question would be answered for the same reason.
+     * Whether a requester lacks changes, or its state is considerably more stale than the local one. A small difference in
+     * staleness doesn't count, because it would end every subsequent long poll as well.
      */
     private isBehind({ directory, configuration }: ExchangeRequest): boolean {
-        const { directory: own, freshness, confirmMs } = this.options;
-        const ageMs = directory === undefined || directory.ageMs < 0 ? Infinity : directory.ageMs;
-        const isYounger = ageMs - freshness.stalenessMs > confirmMs * notifyShare;
-        return Number(directory?.revision ?? 0n) < own.revision
+        const { directory: localDirectory, stalenessTracker, confirmMs } = this.options;
+        const remoteStalenessMs = directory === undefined || directory.ageMs < 0 ? Infinity : directory.ageMs;
+        const isMoreStale = remoteStalenessMs - stalenessTracker.stalenessMs > confirmMs * notifyShare;
+        return Number(directory?.revision ?? 0n) < localDirectory.revision
             || missingDocuments(this.options.activeConfiguration, configuration).length > 0
-            || ageMs > confirmMs && isYounger;
+            || remoteStalenessMs > confirmMs && isMoreStale;
     }
 
-    /**
-     * Whether an instance that asks lacks a request that is withheld here. It is answered at once for one difference only
-     * once: where two see the same runs differently, its next question would be answered for the same reason.
-     */
-    private lacksWithheld(asking: string, withheld: readonly string[]): boolean {
-        const lacking = [...this.options.crashes.missingQuarantines(withheld)].sort().join();
-        const isNew = lacking !== "" && this.hurried.get(asking) !== lacking;
+    /** Whether a requester lacks a local quarantine that did not end one of its long polls before. */
+    private lacksQuarantine(requester: string, remoteQuarantines: readonly string[]): boolean {
+        const missing = [...this.options.crashes.missingQuarantines(remoteQuarantines)].sort().join();
+        const isNew = missing !== "" && this.notifiedQuarantines.get(requester) !== missing;
         if (isNew) {
-            this.hurried.set(asking, lacking);
+            this.notifiedQuarantines.set(requester, missing);
         }
         return isNew;
     }
@@ -151,113 +139,111 @@
     private request(
         configurationDocuments: Document[],
         directory: Directory,
-        { longPollMs: waitMs = 0, isDelta: isBrief = false, role = Role.UNSPECIFIED, receiver = "" }: ExchangeCallOptions = {},
-    ): { readonly request: ExchangeRequest; readonly told: MemberCursor; } {
-        const { clock, fleet, members, rumors, crashes, limits } = this.options;
-        const news = members.updatesSince(this.told.get(receiver), receiver);
-        const heard = this.heard.get(receiver);
+        { longPollMs = 0, isDelta = false, role = Role.UNSPECIFIED, receiver = "" }: ExchangeCallOptions = {},
+    ): { readonly request: ExchangeRequest; readonly sentCursor: MemberCursor; } {
+        const { clock, fleet, members, drainGossip, crashes, limits } = this.options;
+        const updates = members.updatesSince(this.sentCursors.get(receiver), receiver);
+        const receivedCursor = this.receivedCursors.get(receiver);
         const request = create(ExchangeRequestSchema, {
             fleet,
             sender: members.self,
-            members: [...news.members],
+            members: [...updates.members],
             configuration: versionOf(this.options.activeConfiguration),
             configurationDocuments,
-            observations: isBrief ? [] : [...rumors.pending()],
+            observations: isDelta ? [] : [...drainGossip.pending()],
             directory,
-            waitMs,
-            brief: isBrief,
+            waitMs: longPollMs,
+            brief: isDelta,
             role,
-            limits: encodeLimits(limits, isBrief),
-            ...(heard && { heard }),
-            ...encodeCrashRecords(crashes, clock.nowMs(), this.withheld.get(receiver) ?? [], isBrief),
+            limits: encodeLimits(limits, isDelta),
+            ...(receivedCursor && { heard: receivedCursor }),
+            ...encodeCrashRecords(crashes, clock.nowMs(), this.quarantines.get(receiver) ?? [], isDelta),
         });
-        return { request, told: news.told };
+        return { request, sentCursor: updates.cursor };
     }
 
-    private takeIn(source: string, news: ExchangeRequest | ExchangeResponse, isFromSource = false): void {
+    private merge(peer: string, message: ExchangeRequest | ExchangeResponse, isFromDistributor = false): void {
         const {
             clock,
             members,
-            rumors,
+            drainGossip,
             crashes,
             limits,
-            activeConfiguration: accepted,
+            activeConfiguration,
             directory,
             onConfiguration,
-            onDrainMessage: onRumor,
-            onNews,
+            onDrainMessage,
+            onUpdate,
             onLeaving,
         } = this.options;
-        const told = news.sender === undefined ? news.members : [news.sender, ...news.members];
-        const leaving = told.filter(member => member.leaving && members.stateOf(member.instance) !== "left");
-        const generationBefore = accepted.current?.configuration.generation;
+        const updates = message.sender === undefined ? message.members : [message.sender, ...message.members];
+        const leaving = updates.filter(member => member.leaving && members.stateOf(member.instance) !== "left");
+        const generationBefore = activeConfiguration.current?.configuration.generation;
         const revisionBefore = directory.revision;
-        this.forgetRestarted(news.sender);
-        members.merge(told, source);
-        if (news.$typeName === ExchangeResponseSchema.typeName && news.told !== undefined) {
-            this.heard.set(source, news.told);
+        this.resetRestarted(message.sender);
+        members.merge(updates, peer);
+        if (message.$typeName === ExchangeResponseSchema.typeName && message.told !== undefined) {
+            this.receivedCursors.set(peer, message.told);
         }
-        news.configurationDocuments.forEach(document => onConfiguration(source, document.text));
-        this.takeInDirectory(news.directory);
-        const heard = rumors.merge(news.observations);
-        heard.forEach(onRumor);
-        this.withheld.set(source, news.withheld);
-        const isLimitNews = mergeLimits(limits, news.limits);
-        const isUrgent = mergeCrashRecords(crashes, news, clock.nowMs()) || heard.length > 0 || isLimitNews;
+        message.configurationDocuments.forEach(document => onConfiguration(peer, document.text));
+        this.mergeDirectory(message.directory);
+        const drainMessages = drainGossip.merge(message.observations);
+        drainMessages.forEach(onDrainMessage);
+        this.quarantines.set(peer, message.withheld);
+        const hasNewLimits = mergeLimits(limits, message.limits);
+        const isUrgent = mergeCrashRecords(crashes, message, clock.nowMs()) || drainMessages.length > 0 || hasNewLimits;
         if (leaving.length > 0) {
             onLeaving(leaving);
         }
         if (
-            isUrgent || generationBefore !== accepted.current?.configuration.generation
+            isUrgent || generationBefore !== activeConfiguration.current?.configuration.generation
             || revisionBefore !== directory.revision
         ) {
-            // What a source tells, it tells everyone who asks it.
-            const reach = isFromSource ? "followers" : "links";
-            onNews(isUrgent ? "everyone" : reach);
+            // Peers on links receive the changes of a distributor from their own distributors.
+            const scope = isFromDistributor ? "subscribers" : "links";
+            onUpdate(isUrgent ? "all" : scope);
         }
     }
 
-    /** A run of an instance that has just begun has heard nothing of what the one before was told. */
-    private forgetRestarted(sender: Member | undefined): void {
+    /** Resends all membership updates to a peer that restarted. */
+    private resetRestarted(sender: Member | undefined): void {
         if (sender !== undefined && this.options.members.find(sender.instance)?.incarnation !== sender.incarnation) {
-            this.told.delete(sender.instance);
+            this.sentCursors.delete(sender.instance);
         }
     }
 
-    private takeInDirectory(message: Directory | undefined): void {
+    private mergeDirectory(message: Directory | undefined): void {
         const { directory, onDirectory } = this.options;
-        const news = message === undefined ? undefined : decodeDirectory(message);
-        const isEmpty = news === undefined || news.entries.length === 0 && news.zones.length === 0;
-        if (news === undefined || isEmpty && news.revision <= directory.revision) {
+        const update = message === undefined ? undefined : decodeDirectory(message);
+        const isEmpty = update === undefined || update.entries.length === 0 && update.zones.length === 0;
+        if (update === undefined || isEmpty && update.revision <= directory.revision) {
             return;
         }
-        directory.merge(news);
-        if (!isEmpty || news.isSnapshot) {
+        directory.merge(update);
+        if (!isEmpty || update.isSnapshot) {
             onDirectory();
         }
     }
 
     /**
-     * Takes over how old another instance's knowledge is, if this one lacks nothing of it. Only answers
-     * count, whose way here took at most the time since the question; a request may have been held up on its way.
-     *
-     * @returns That age in milliseconds; infinite where it says nothing of what this instance knows.
+     * Adopts the staleness of a responding instance if this one lacks none of its changes; returns it, otherwise infinity.
+     * The staleness in a request is not adopted, because the time that the request spent in transit is unknown.
      */
-    private takeInAge({ directory, configuration }: ExchangeResponse, wayMs: number): number {
-        const { activeConfiguration: accepted, directory: own, freshness } = this.options;
-        const generation = accepted.current?.configuration.generation ?? 0;
-        const lacksNothing = Number(directory?.revision ?? 0n) <= own.revision
+    private mergeStaleness({ directory, configuration }: ExchangeResponse, transitMs: number): number {
+        const { activeConfiguration, directory: localDirectory, stalenessTracker } = this.options;
+        const generation = activeConfiguration.current?.configuration.generation ?? 0;
+        const isComplete = Number(directory?.revision ?? 0n) <= localDirectory.revision
             && Number(configuration?.number ?? 0n) <= generation;
-        if (directory === undefined || directory.ageMs < 0 || !lacksNothing) {
+        if (directory === undefined || directory.ageMs < 0 || !isComplete) {
             return Infinity;
         }
-        freshness.confirm(directory.ageMs + wayMs);
-        return directory.ageMs + wayMs;
+        stalenessTracker.confirm(directory.ageMs + transitMs);
+        return directory.ageMs + transitMs;
     }
 
-    /** What is known of the directory, with the changes that an instance lacks that knows it up to a revision. */
-    private directoryFor(revision: number): Directory {
-        const { directory, freshness } = this.options;
-        return encodeDirectory(directory, freshness.confirmedStalenessMs, revision);
+    /** Returns the directory message with the changes after a revision. */
+    private directoryMessage(revision: number): Directory {
+        const { directory, stalenessTracker } = this.options;
+        return encodeDirectory(directory, stalenessTracker.confirmedStalenessMs, revision);
     }
 }
--- a/packages/fleet/src/fleet-options.ts
+++ b/packages/fleet/src/fleet-options.ts
@@ -1,5 +1,5 @@
 /**
- * What a fleet is made of.
+ * Options of a fleet.
  *
  * @packageDocumentation
  */
@@ -19,35 +19,35 @@
     readonly random: RandomSource;
     readonly instance: InstanceId;
     readonly incarnation: number;
-    /** Name of the fleet; instances of another fleet are refused. */
+    /** Name of the fleet; instances of other fleets are rejected. */
     readonly fleet: string;
     readonly availabilityZone: string;
     readonly address: string;
     readonly port: number;
-    /** Instances that are asked first; they may be gone, and this one may be among them. */
+    /** Instances that are contacted to discover the others; some may be unreachable, and one may be this instance. */
     readonly seeds: readonly PeerAddress[];
     readonly clients: PeerClients;
     readonly activeConfiguration: ActiveConfiguration;
     readonly directory: UpstreamDirectory;
-    /** What is remembered of upstreams that ended under requests. */
+    /** Upstreams that crashed while processing requests. */
     readonly crashes: CrashHistory;
-    /** What upstreams say of how much they take. */
+    /** Rate limits that upstreams announce. */
     readonly limits: UpstreamLimits;
     readonly times?: Partial<FleetTimes>;
-    /** Offers a configuration document that another instance passed on. */
+    /** Called with a configuration document from another instance. */
     readonly onConfiguration: (source: string, text: string) => void;
-    /** Told when the listed upstreams changed by what another instance told. */
+    /** Called when an update from another instance changed the directory. */
     readonly onDirectory: () => void;
-    /** Told of an observation of another instance. */
-    readonly onDrainMessage: (rumor: DrainMessage) => void;
-    /** Told when the number of instances that may be running has changed. */
+    /** Called when another instance reported a draining upstream. */
+    readonly onDrainMessage: (message: DrainMessage) => void;
+    /** Called when the number of instances that may be running has changed. */
     readonly onSizeChange: () => void;
-    /** Told that a reader or relay did not answer, so that another one is asked. */
-    readonly onDistributorLost: (source: string, error: Error) => void;
-    /** Told of each exchange that is begun here. */
+    /** Called when a reader or relay did not respond and is replaced. */
+    readonly onDistributorLost: (instance: string, error: Error) => void;
+    /** Called when this instance starts an exchange. */
     readonly onExchange: (reason: ExchangeReason) => void;
-    /** Told when an exchange had to wait because the one before it over the same link was just now. */
+    /** Called when an exchange is delayed by the minimum interval of its link. */
     readonly onLimited: () => void;
-    /** Told of an exchange that failed. */
+    /** Called when an exchange failed. */
     readonly onUnreachable: (peer: PeerAddress, error: Error) => void;
 }
--- a/packages/fleet/src/fleet.ts
+++ b/packages/fleet/src/fleet.ts
@@ -1,5 +1,5 @@
 /**
- * This instance's part in the fleet.
+ * The membership of this instance in the fleet.
  *
  * @packageDocumentation
  */
@@ -24,27 +24,27 @@
 import { createSelfMember } from "./self-member.js";
 import { notifyShare, StalenessTracker } from "./staleness-tracker.js";
 
-/** Joins membership, documents, listed upstreams and observations of one instance. */
+/** Runs membership and gossip for one instance: members, configuration, directory, drain messages, crashes and limits. */
 export class Fleet {
     readonly members: Members;
     readonly drainGossip: DrainGossip;
     readonly exchange: Exchange;
-    /** Who reads the platform, and who passes on what they read. */
+    /** The readers and relays of the fleet. */
     readonly roles: DistributionRoles;
-    /** How old the knowledge of what the platform publishes is, from whatever source. */
+    /** Staleness of the published state, whether it was read from the platform or received from another instance. */
     readonly stalenessTracker: StalenessTracker;
     readonly times: FleetTimes;
-    /** Which cold upstreams this instance shares with a few others. */
+    /** Tasks that are assigned to a few members. */
     readonly assignment: MemberAssignment;
-    private readonly ending = new AbortController();
+    private readonly stopping = new AbortController();
     private readonly links: PeerLinks;
     private readonly calls: PeerCalls;
-    /** Instances that are asked first for the others. */
+    /** Instances that are contacted to discover the others. */
     readonly seeds: Seeds;
-    private readonly search: PartitionRecovery;
-    private knownSize = 1;
+    private readonly recovery: PartitionRecovery;
+    private reportedSize = 1;
 
-    /** @param options - Parts of the instance. */
+    /** @param options - Address, state and callbacks of the instance. */
     constructor(private readonly options: FleetOptions) {
         const { clock, random, address, port } = options;
         this.times = { ...defaultFleetTimes, ...options.times };
@@ -55,7 +55,7 @@
             clock,
             members: this.members,
             times: this.times,
-            readsFromStart: () => this.seeds.includesSelf || this.seeds.all.length === 0,
+            mayReadAtStart: () => this.seeds.includesSelf || this.seeds.all.length === 0,
         });
         this.assignment = new MemberAssignment({
             clock,
@@ -68,19 +68,19 @@
             clock,
             random,
             members: this.members,
-            choose: members => this.chooseLinks(members),
-            mayRetry: member => this.search.mayRetry(member),
+            select: members => this.selectLinks(members),
+            mayRetry: member => this.recovery.mayRetry(member),
             exchangeWith: (member, reason, link) => this.calls.exchangeWith(member, reason, link),
             onLimited: () => options.onLimited(),
         });
         this.exchange = new Exchange({
             ...options,
-            freshness: this.stalenessTracker,
+            stalenessTracker: this.stalenessTracker,
             confirmMs: this.times.confirmMs,
             members: this.members,
             roles: this.roles,
-            rumors: this.drainGossip,
-            onNews: reach => this.tell(reach),
+            drainGossip: this.drainGossip,
+            onUpdate: scope => this.notifyPeers(scope),
             onLeaving: leaving => this.replaceLeaving(leaving),
         });
         this.calls = new PeerCalls({
@@ -92,24 +92,24 @@
             onExchange: options.onExchange,
             onFailure: (peer, error) => {
                 options.onUnreachable(peer, error);
-                this.avoid(peer, error);
+                this.backOff(peer, error);
             },
         });
         const { seeds, members, roles, calls } = this;
-        this.search = new PartitionRecovery({ seeds, members, roles, calls, onHeard: () => this.links.refresh() });
+        this.recovery = new PartitionRecovery({ seeds, members, roles, calls, onContact: () => this.links.refresh() });
     }
 
-    /** Takes over other seeds. */
+    /** Replaces the seeds. */
     replaceSeeds(seeds: readonly PeerAddress[]): void {
         this.seeds.replace(seeds);
     }
 
-    /** Begins to talk to other instances. */
+    /** Starts heartbeats and exchanges. */
     start(): void {
-        void this.beatWhileRunning();
+        void this.runHeartbeats();
     }
 
-    /** Announces to its links, and to those who wait for its answers, that this instance leaves; they pass it on. */
+    /** Announces to links and subscribers that this instance leaves; they forward it. */
     async announceLeaving(): Promise<void> {
         this.members.updateSelf({ leaving: true });
         this.stalenessTracker.notifyWaiters();
@@ -117,18 +117,18 @@
         await Promise.all(links.map(member => this.calls.exchangeWith(member, "news")));
     }
 
-    /** Ends all talk at once. */
+    /** Stops all exchanges immediately. */
     stop(): void {
-        this.ending.abort();
+        this.stopping.abort();
         this.links.stop();
         this.options.clients.close();
     }
 
     /**
-     * Tells others that an upstream leaves, unless they know it from here already.
+     * Sends a drain message for an upstream to the other instances, unless it is already recorded.
      *
-     * @param upstream - The upstream.
-     * @param startedAtMs - The start that leaves, in milliseconds since the Unix epoch; 0 when it is not known.
+     * @param upstream - Id of the upstream.
+     * @param startedAtMs - Start of the incarnation that drains, in milliseconds since the Unix epoch; 0 if unknown.
      */
     announceDraining(upstream: string, startedAtMs: number): void {
         if (this.drainGossip.record(upstream, startedAtMs)) {
@@ -136,32 +136,31 @@
         }
     }
 
-    /** Tells others that there is news that no reader tells, without waiting for the next exchange. */
+    /** Sends pending changes to all peers without waiting for the next exchange. */
     gossipNow(): void {
-        this.tell("everyone");
+        this.notifyPeers("all");
     }
 
     /**
-     * Tells others what the platform told this instance. A reader leaves it at those who ask it: the other readers read
-     * the same, and pushing it over every link as well would nearly double the exchanges.
+     * Sends changes that were read from the platform. A reader notifies its subscribers only, because the other readers
+     * read the same changes.
      */
     gossipPlatformUpdate(): void {
-        this.tell(this.roles.isReader ? "followers" : "everyone");
+        this.notifyPeers(this.roles.isReader ? "subscribers" : "all");
     }
 
-    private tell(reach: GossipScope): void {
+    private notifyPeers(scope: GossipScope): void {
         this.stalenessTracker.notifyWaiters();
-        if (reach !== "followers") {
-            this.links.wake(reach === "everyone");
+        if (scope !== "subscribers") {
+            this.links.wake(scope === "all");
         }
     }
 
     /**
-     * Forgets what time alone made doubtful, after this process slept; asks others at once only where it slept so long
-     * that it may lack something. A process that is short of processor time wakes late many times a second: asking each
-     * time, and being asked by others that do, would keep all of them short of it.
+     * Resets the failure timeouts of all members after this process was suspended. Exchanges state at once only after a
+     * long stall, because frequent short stalls under load would otherwise add to the load of all instances.
      *
-     * @param sleptMs - How long it slept.
+     * @param sleptMs - Duration of the stall in milliseconds.
      */
     resumeAfterStall(sleptMs: number): void {
         this.members.resetTimeouts();
@@ -171,67 +170,66 @@
     }
 
     /**
-     * Waits until other instances were heard, so that a new instance does not
-     * serve under an older configuration than theirs.
+     * Waits for an exchange with any other instance, so that a new instance doesn't serve with an outdated configuration.
      *
-     * @param timeoutMs - Longest wait.
-     * @returns Whether one was heard, or there is nobody to hear.
+     * @param timeoutMs - Maximum wait in milliseconds.
+     * @returns Whether an instance responded, or there are no peers.
      */
     contactPeers(timeoutMs: number): Promise<boolean> {
         const { clock } = this.options;
-        const { calls, members, seeds, ending: { signal } } = this;
+        const { calls, members, seeds, stopping: { signal } } = this;
         return contactPeers({ clock, calls, members, seeds, timeoutMs, signal });
     }
 
-    private async beatWhileRunning(): Promise<void> {
+    private async runHeartbeats(): Promise<void> {
         const { clock } = this.options;
-        while (!this.ending.signal.aborted) {
+        while (!this.stopping.signal.aborted) {
             this.members.advanceHeartbeat();
             this.members.prune();
             this.links.refresh();
-            this.search.onHeartbeat();
-            this.tellSize();
-            await sleep(clock, this.times.exchangeIntervalMs, this.ending.signal);
+            this.recovery.onHeartbeat();
+            this.reportSize();
+            await sleep(clock, this.times.exchangeIntervalMs, this.stopping.signal);
         }
     }
 
-    private tellSize(): void {
-        const { possibleSize: possible } = this.members;
-        if (possible !== this.knownSize) {
-            this.knownSize = possible;
+    private reportSize(): void {
+        const { possibleSize } = this.members;
+        if (possibleSize !== this.reportedSize) {
+            this.reportedSize = possibleSize;
             this.options.onSizeChange();
         }
     }
 
-    /** When this instance began to talk to others. */
+    /** When this instance joined the fleet, on its clock. */
     get joinedAtMs(): number {
         return this.roles.joinedAtMs;
     }
 
     /**
-     * Whether a source answers, and knows no better than this instance: then it is the one that tries to reach the
-     * platform, and hundreds of others need not try as well.
+     * Whether a reader or relay responded recently with stale state. That distributor then reads the platform itself, so
+     * its subscribers need not.
      */
     get isDistributorStale(): boolean {
-        return this.calls.isSourceStale;
+        return this.calls.isDistributorStale;
     }
 
-    /** Finds other sources at once where one of them leaves. */
+    /** Selects new links if a linked member leaves. */
     private replaceLeaving(leaving: readonly Member[]): void {
         if (leaving.some(({ instance }) => this.links.includes(instance))) {
             this.links.refresh();
         }
     }
 
-    private chooseLinks(members: readonly Member[]): readonly Link[] {
+    private selectLinks(members: readonly Member[]): readonly Link[] {
         const { members: { self }, roles, times } = this;
-        return selectLinks({ self, role: roles.own, members, readers: roles.readers, relays: roles.relays, times });
+        return selectLinks({ self, localRole: roles.localRole, members, readers: roles.readers, relays: roles.relays, times });
     }
 
-    /** Passes over a member that did not answer; if it was a reader or relay, another one is found at once. */
-    private avoid(peer: PeerAddress, error: Error): void {
+    /** Backs off from a member that did not respond, and replaces it at once if it was a reader or relay. */
+    private backOff(peer: PeerAddress, error: Error): void {
         const member = this.members.others.find(({ address, port }) => address === peer.address && port === peer.port);
-        if (member !== undefined && !this.ending.signal.aborted && this.roles.backOff(member)) {
+        if (member !== undefined && !this.stopping.signal.aborted && this.roles.backOff(member)) {
             this.options.onDistributorLost(member.instance, error);
             this.links.refresh();
         }
--- a/packages/fleet/src/gossip-scope.ts
+++ b/packages/fleet/src/gossip-scope.ts
@@ -1,12 +1,12 @@
 /**
- * Who has to hear some news without waiting for the next exchange.
+ * Which peers receive a change without waiting for the next exchange.
  *
  * @packageDocumentation
  */
 
 /**
- * - `followers`: those who wait for an answer from this instance.
- * - `links`: also the members that it talks to now and then.
- * - `everyone`: also the sources that keep their answers to it back.
+ * - `subscribers`: Instances with a pending long poll of this instance.
+ * - `links`: Also the members that this instance contacts at intervals.
+ * - `all`: Also the readers and relays that this instance polls.
  */
-export type GossipScope = "followers" | "links" | "everyone";
+export type GossipScope = "subscribers" | "links" | "all";
--- a/packages/fleet/src/index.ts
+++ b/packages/fleet/src/index.ts
@@ -1,6 +1,5 @@
 /**
- * Entry instances acting together: membership, who reads the platform, how its news
- * and observations reach everyone.
+ * Membership and gossip between instances, and the distribution of the published state.
  *
  * @packageDocumentation
  */
--- a/packages/fleet/src/limit-message.ts
+++ b/packages/fleet/src/limit-message.ts
@@ -1,5 +1,5 @@
 /**
- * What upstreams say of how much they take, as instances tell it to each other.
+ * Announced rate limits of upstreams in messages between instances.
  *
  * @packageDocumentation
  */
@@ -10,13 +10,13 @@
 import { type NamedLimit, NamedLimitSchema } from "@harrierhitch/protocol";
 
 /**
- * Writes what was heard lately.
+ * Encodes the recently received limits.
  *
- * @param limits - What this instance remembers.
- * @param isBrief - Whether to leave out what is not just new.
+ * @param limits - Limits stored on this instance.
+ * @param isDelta - Whether to include only the latest changes.
  */
-export const encodeLimits = (limits: UpstreamLimits, isBrief: boolean): NamedLimit[] =>
-    limits.recentEntries(isBrief).map(({ upstream, startedAtMs, notice: { perSecond, sinceUnixMs, saidAtUnixMs, heardBy } }) =>
+export const encodeLimits = (limits: UpstreamLimits, isDelta: boolean): NamedLimit[] =>
+    limits.recentEntries(isDelta).map(({ upstream, startedAtMs, notice: { perSecond, sinceUnixMs, saidAtUnixMs, heardBy } }) =>
         create(NamedLimitSchema, {
             upstream,
             startedAtMs: BigInt(startedAtMs),
@@ -28,15 +28,16 @@
     );
 
 /**
- * Takes in what another instance told.
+ * Merges limits received from another instance.
  *
- * @param limits - What this instance remembers.
- * @param told - What the other one told.
- * @returns Whether others should hear of any of it at once.
+ * @param limits - Limits stored on this instance.
+ * @param messages - The received limits.
+ * @returns Whether the changes have to be sent to all peers at once.
  */
-export const mergeLimits = (limits: UpstreamLimits, told: readonly NamedLimit[]): boolean => limits.merge(told.map(readLimit));
+export const mergeLimits = (limits: UpstreamLimits, messages: readonly NamedLimit[]): boolean =>
+    limits.merge(messages.map(decodeLimit));
 
-const readLimit = (
+const decodeLimit = (
     { upstream, startedAtMs, perSecond, sinceUnixMs, saidAtUnixMs, heardBy }: NamedLimit,
 ): UpstreamLimitNotice => ({
     upstream: upstreamId(upstream),
--- a/packages/fleet/src/link-task.ts
+++ b/packages/fleet/src/link-task.ts
@@ -1,5 +1,5 @@
 /**
- * The task of one link: exchanges with one member, at intervals and on news.
+ * The task of one link: exchanges with one member at intervals and on changes.
  *
  * @packageDocumentation
  */
@@ -14,99 +14,96 @@
 export interface LinkTaskOptions {
     readonly clock: Clock;
     readonly random: RandomSource;
-    /** The link, as it was chosen last. */
+    /** Returns the current link. */
     readonly link: () => Link;
-    /** The member, as it was heard of last. */
+    /** Returns the latest state of the member. */
     readonly member: () => Member;
-    /** Exchanges news with the member, which may keep its answer back for a time; tells whether it answered. */
+    /** Exchanges state with the member, as a long poll if the link specifies one; resolves with whether it responded. */
     readonly exchangeWith: (member: Member, reason: ExchangeReason, link?: Link) => Promise<boolean>;
-    /** Told when an exchange had to wait because the one before it was just now. */
+    /** Called when an exchange is delayed by the minimum interval. */
     readonly onLimited: () => void;
 }
 
-/** Shortest pause between two exchanges over one link, so that news are gathered. */
+/** Minimum pause between two exchanges over one link, in milliseconds, so that changes are batched. */
 const minimumPauseMs = 20;
 
-/**
- * Shortest time between the beginnings of two exchanges of one kind over one link: whatever comes up, and however wrong
- * it is taken in, a link makes ten a second; instances that keep telling each other would use up their descriptors.
- */
-const exchangeGapMs = 100;
+/** Minimum interval between the starts of two exchanges over one link, in milliseconds; bounds the rate in any event. */
+const minimumIntervalMs = 100;
 
-/** Talks to one member until it is stopped. */
+/** Exchanges state with one member until it is stopped. */
 export class LinkTask {
-    private readonly news: AutoResetEvent;
-    /** What has come up while the member keeps its answer back, and must reach it before that answer is due. */
-    private readonly urgentNews: AutoResetEvent;
-    private readonly ending = new AbortController();
+    private readonly changed: AutoResetEvent;
+    /** Set for changes that must reach the member while a long poll is pending. */
+    private readonly urgentlyChanged: AutoResetEvent;
+    private readonly stopping = new AbortController();
 
-    /** @param options - The link and the way to talk. */
+    /** @param options - The link and its exchanges. */
     constructor(private readonly options: LinkTaskOptions) {
-        this.news = new AutoResetEvent(options.clock);
-        this.urgentNews = new AutoResetEvent(options.clock);
+        this.changed = new AutoResetEvent(options.clock);
+        this.urgentlyChanged = new AutoResetEvent(options.clock);
         void this.exchangeWhileRunning();
-        void this.tellWhileRunning();
+        void this.sendUrgentWhileRunning();
     }
 
-    /** Ends the task. */
+    /** Stops the task. */
     stop(): void {
-        this.ending.abort();
-        this.news.set();
-        this.urgentNews.set();
+        this.stopping.abort();
+        this.changed.set();
+        this.urgentlyChanged.set();
     }
 
     /**
-     * Lets the link exchange now, because there is news.
+     * Starts an exchange without waiting for the interval.
      *
-     * @param isUrgent - Whether a member that keeps its answer back has to hear it before that is due.
+     * @param isUrgent - Whether to start an exchange also while a long poll is pending.
      */
     wake(isUrgent: boolean): void {
-        const { waitMs } = this.options.link();
-        if (waitMs === 0) {
-            this.news.set();
+        const { longPollMs } = this.options.link();
+        if (longPollMs === 0) {
+            this.changed.set();
         }
         else if (isUrgent) {
-            this.urgentNews.set();
+            this.urgentlyChanged.set();
         }
     }
 
     private async exchangeWhileRunning(): Promise<void> {
-        const { random, link: linkNow, member, exchangeWith } = this.options;
-        const { signal } = this.ending;
+        const { random, link: currentLink, member, exchangeWith } = this.options;
+        const { signal } = this.stopping;
         let reason: ExchangeReason = "interval";
         while (!signal.aborted) {
-            const link = linkNow();
-            const beganAtMs = this.options.clock.nowMs();
-            const answered = await exchangeWith(member(), link.waitMs > 0 ? "question" : reason, link);
-            // Whoever waits for the answer needs no pause between two questions.
-            const pauseMs = link.waitMs === 0 || !answered ? link.intervalMs * (0.75 + 0.5 * random.next()) : 0;
-            reason = pauseMs > 0 && await this.news.wait(pauseMs) ? "news" : "interval";
-            await this.keepGap(beganAtMs);
+            const link = currentLink();
+            const startedAtMs = this.options.clock.nowMs();
+            const hasResponded = await exchangeWith(member(), link.longPollMs > 0 ? "question" : reason, link);
+            // Long polls follow each other without a pause.
+            const pauseMs = link.longPollMs === 0 || !hasResponded ? link.intervalMs * (0.75 + 0.5 * random.next()) : 0;
+            reason = pauseMs > 0 && await this.changed.wait(pauseMs) ? "news" : "interval";
+            await this.throttle(startedAtMs);
         }
     }
 
-    /** Tells what is urgent, one call at a time; what comes up meanwhile is told by the next one. */
-    private async tellWhileRunning(): Promise<void> {
+    /** Sends urgent changes, one exchange at a time; changes during an exchange are sent by the next one. */
+    private async sendUrgentWhileRunning(): Promise<void> {
         const { clock, member, exchangeWith } = this.options;
-        const { signal } = this.ending;
+        const { signal } = this.stopping;
         while (!signal.aborted) {
-            if (await this.urgentNews.wait() && !isAborted(signal)) {
-                const beganAtMs = clock.nowMs();
+            if (await this.urgentlyChanged.wait() && !isAborted(signal)) {
+                const startedAtMs = clock.nowMs();
                 await exchangeWith(member(), "news");
-                await this.keepGap(beganAtMs);
+                await this.throttle(startedAtMs);
             }
         }
     }
 
-    private async keepGap(beganAtMs: number): Promise<void> {
+    private async throttle(startedAtMs: number): Promise<void> {
         const { clock, onLimited } = this.options;
-        const leftMs = beganAtMs + exchangeGapMs - clock.nowMs();
-        if (leftMs > minimumPauseMs) {
+        const remainingMs = startedAtMs + minimumIntervalMs - clock.nowMs();
+        if (remainingMs > minimumPauseMs) {
             onLimited();
         }
-        await sleep(clock, Math.max(minimumPauseMs, leftMs), this.ending.signal);
+        await sleep(clock, Math.max(minimumPauseMs, remainingMs), this.stopping.signal);
     }
 }
 
-/** Read through a function, because the compiler takes the loop's condition for granted. */
+/** Reads the property in a function, because the compiler narrows it by the loop's condition. */
 const isAborted = (signal: AbortSignal): boolean => signal.aborted;
--- a/packages/fleet/src/links.ts
+++ b/packages/fleet/src/links.ts
@@ -1,5 +1,5 @@
 /**
- * Which few members an instance talks to, and how often.
+ * Selection of the members that an instance exchanges state with, and the interval of each link.
  *
  * @packageDocumentation
  */
@@ -9,23 +9,23 @@
 import { type FleetTimes, quietIntervalMsFor } from "@harrierhitch/published";
 import { readersPerRelay } from "./select-distributors.js";
 
-/** A member that this instance talks to. */
+/** A member that this instance exchanges state with. */
 export interface Link {
     readonly member: Member;
-    /** Time between two exchanges without news. */
+    /** Interval between two exchanges when nothing changes. */
     readonly intervalMs: number;
-    /** Longest time for which the member keeps its answer back until there is something new; 0 for none. */
-    readonly waitMs: number;
-    /** What the member is asked as. */
+    /** Maximum time for which the member may wait for a change before it responds; 0 if it responds at once. */
+    readonly longPollMs: number;
+    /** The role in which the member is polled. */
     readonly role: Role;
 }
 
-/** What links are chosen by. */
+/** Options of {@link selectLinks}. */
 export interface LinkOptions {
     readonly self: Member;
     /** The role of this instance. */
-    readonly role: Role;
-    /** The other members that may be talked to. */
+    readonly localRole: Role;
+    /** The other members that may be linked. */
     readonly members: readonly Member[];
     /** The readers of the fleet. */
     readonly readers: readonly Member[];
@@ -34,58 +34,58 @@
     readonly times: FleetTimes;
 }
 
-/** Links into the own availability zone besides the source, so that news do not hang on the source alone. */
-const linksInside = 1;
+/** Links into the local availability zone besides the distributors, so that gossip doesn't depend on these alone. */
+const linksInsideZone = 1;
 
-/** Links out of the own availability zone, kept by readers only, because bytes between zones are dear. */
-const linksOutside = 2;
+/** Links of a reader into other availability zones; other instances have none, because traffic between zones is expensive. */
+const linksOutsideZone = 2;
 
-/** Members below which everyone talks to everyone: a link less would save nothing worth having. */
+/** Number of other members up to which all instances are linked to each other. */
 const fullMeshSize = 5;
 
-/** Whether a fleet is so small that everyone talks to everyone. */
+/** Whether a fleet is so small that all instances are linked to each other. */
 export const isFullMesh = (others: readonly Member[]): boolean => others.length <= fullMeshSize;
 
 /**
- * Chooses the members that an instance talks to. A reader asks the other readers, and two instances of other zones now
- * and then; a relay asks readers, everyone else a relay; all ask one more of their zone now and then. The choice is
- * stable while they live, and differs between instances, so that the links of all join the whole fleet.
+ * Selects the links of an instance. A reader polls the other readers and has quiet links into other zones; a relay polls
+ * readers, all other instances poll a relay, and each has a quiet link into its zone. The selection is stable while the
+ * members live, and differs between instances, so that the links connect the fleet.
  */
 export const selectLinks = (options: LinkOptions): readonly Link[] => {
-    const { self, role, members, times } = options;
+    const { self, localRole, members, times } = options;
     const order = rendezvousOrder(`links ${self.instance}`, members, ({ instance }) => instance);
-    const sources = sourcesOf(options, order);
-    const others = order.filter(member => sources.every(source => source.member !== member));
+    const distributors = distributorLinks(options, order);
+    const others = order.filter(member => distributors.every(distributor => distributor.member !== member));
     if (isFullMesh(members)) {
         const toOthers = others.map(member => ({
             member,
             intervalMs: times.exchangeIntervalMs,
-            waitMs: 0,
+            longPollMs: 0,
             role: Role.UNSPECIFIED,
         }));
-        return [...sources, ...toOthers];
+        return [...distributors, ...toOthers];
     }
-    const isInside = (member: Member): boolean => member.availabilityZone === self.availabilityZone;
-    const inside = others.filter(isInside).slice(0, linksInside);
-    const outside = role === Role.READER ? others.filter(member => !isInside(member)).slice(0, linksOutside) : [];
+    const isInZone = (member: Member): boolean => member.availabilityZone === self.availabilityZone;
+    const inside = others.filter(isInZone).slice(0, linksInsideZone);
+    const outside = localRole === Role.READER ? others.filter(member => !isInZone(member)).slice(0, linksOutsideZone) : [];
     const intervalMs = quietIntervalMsFor(times, members.length + 1);
     return [
-        ...sources,
-        ...[...inside, ...outside].map(member => ({ member, intervalMs, waitMs: 0, role: Role.UNSPECIFIED })),
+        ...distributors,
+        ...[...inside, ...outside].map(member => ({ member, intervalMs, longPollMs: 0, role: Role.UNSPECIFIED })),
     ];
 };
 
-/** The links to those that this instance relies on. */
-const sourcesOf = ({ role, readers, relays, times }: LinkOptions, order: readonly Member[]): readonly Link[] => {
-    const amongOrder = (wanted: readonly Member[]): readonly Member[] =>
-        order.filter(member => wanted.some(({ instance }) => instance === member.instance));
-    const askAs = (asked: Role) => (member: Member): Link => ({
+/** Returns the links to the readers or the relay that this instance polls. */
+const distributorLinks = ({ localRole, readers, relays, times }: LinkOptions, order: readonly Member[]): readonly Link[] => {
+    const inOrder = (selected: readonly Member[]): readonly Member[] =>
+        order.filter(member => selected.some(({ instance }) => instance === member.instance));
+    const pollAs = (role: Role) => (member: Member): Link => ({
         member,
         intervalMs: times.exchangeIntervalMs,
-        waitMs: times.longPollMs,
-        role: asked,
+        longPollMs: times.longPollMs,
+        role,
     });
-    const readersFirst = amongOrder(readers).slice(0, readersPerRelay).map(askAs(Role.READER));
-    const [relay] = amongOrder(relays);
-    return role === Role.UNSPECIFIED && relay !== undefined ? [askAs(Role.RELAY)(relay)] : readersFirst;
+    const readerLinks = inOrder(readers).slice(0, readersPerRelay).map(pollAs(Role.READER));
+    const [relay] = inOrder(relays);
+    return localRole === Role.UNSPECIFIED && relay !== undefined ? [pollAs(Role.RELAY)(relay)] : readerLinks;
 };
--- a/packages/fleet/src/member-assignment.ts
+++ b/packages/fleet/src/member-assignment.ts
@@ -1,5 +1,5 @@
 /**
- * Which few instances do something that not all may do at once.
+ * Assignment of tasks to a few members of the fleet.
  *
  * @packageDocumentation
  */
@@ -8,99 +8,100 @@
 import type { LimitShare } from "@harrierhitch/decision";
 import type { Members } from "./members.js";
 
-/**
- * Instances that share one cold upstream: with fewer, those that share it may have no request for it, or be gone; with
- * more, their even steps add up to more in one second.
- */
-const sharersPerUpstream = 3;
+/** Instances that send to one upstream during its cold start. */
+const participantsPerColdUpstream = 3;
 
-/** Instances that an instance reckons with at least: it is one of several, or it would have no fleet. */
-const fewestMembers = 2;
+/** Minimum number of members assumed when dividing a limit; a fleet has at least two. */
+const minimumMembers = 2;
 
-/** Most choices that are remembered: limits that change all the time ask for ever other numbers of members. */
-const maximumFound = 4096;
+/** Maximum number of cached assignments. */
+const maximumCacheEntries = 4096;
 
 /** Options of {@link MemberAssignment}. */
 export interface MemberAssignmentOptions {
     readonly clock: Clock;
     readonly members: Members;
-    /** When this instance began to talk to others. */
+    /** When this instance joined the fleet, on its clock. */
     readonly joinedAtMs: number;
-    /** Time after that in which it does not know enough of them to be sure that it is chosen. */
+    /** Time after joining during which no task is assigned to this instance, because it doesn't know all members yet. */
     readonly settleMs: number;
 }
 
-/** Finds who is chosen among all members that have not left, also silent ones: they may be running behind a cut. */
+/**
+ * Assigns tasks by rendezvous hashing over all members that have not left. Unresponsive members count, because they may be
+ * running in another partition.
+ */
 export class MemberAssignment {
-    private readonly found = new Map<string, number>();
+    private readonly cache = new Map<string, number>();
     private version = -1;
-    private count: number | undefined;
+    private cachedSize: number | undefined;
 
     /** @param options - Members and times. */
     constructor(private readonly options: MemberAssignmentOptions) {}
 
     /**
-     * How many instances share a cold upstream.
+     * Returns the number of instances that send to an upstream during its cold start.
      *
      * @param upstream - Id of the upstream.
-     * @returns Their number; 0 where this instance is none of them, or has not heard of the others yet.
+     * @returns Their number; 0 if this instance is none of them or is still settling.
      */
     participantsOf(upstream: string): number {
-        return this.chosenFor(`cold ${upstream}`, sharersPerUpstream);
+        return this.assigneeCount(`cold ${upstream}`, participantsPerColdUpstream);
     }
 
-    /** Whether this instance alone is to try a withheld request. */
-    isTrialOwner(pattern: string): boolean {
-        return this.chosenFor(`trial ${pattern}`, 1) > 0;
+    /** Whether this instance is the one that may send a trial of a quarantined request. */
+    isTrialOwner(signature: string): boolean {
+        return this.assigneeCount(`trial ${signature}`, 1) > 0;
     }
 
     /**
-     * This instance's share of what an upstream takes from all instances together. Silent members count, and so does one at least
-     * beside an instance that has heard of nobody: whoever does not know with whom it shares sends less.
+     * Returns this instance's share of the rate limit of an upstream. An instance that knows no other member is not a
+     * participant, and assumes that at least one other instance exists.
      *
      * @param upstream - Id of the upstream.
-     * @param wanted - How many instances should share it.
+     * @param wanted - Number of instances that should share the limit.
      */
     limitShare(upstream: string, wanted: number): LimitShare {
         const { self } = this.options.members;
-        const possible = this.possible();
-        const members = Math.max(possible, fewestMembers);
-        const isSharer = possible > 1 && !self.leaving && this.chosenFor(`limit ${upstream}`, wanted) > 0;
-        return { isParticipant: isSharer, participants: Math.min(wanted, members), members };
+        const possibleSize = this.possibleSize();
+        const members = Math.max(possibleSize, minimumMembers);
+        const isParticipant = possibleSize > 1 && !self.leaving && this.assigneeCount(`limit ${upstream}`, wanted) > 0;
+        return { isParticipant, participants: Math.min(wanted, members), members };
     }
 
-    private chosenFor(key: string, count: number): number {
+    /** Returns the number of assignees of a task if this instance is one of them, otherwise 0. */
+    private assigneeCount(task: string, count: number): number {
         const { clock, joinedAtMs, settleMs } = this.options;
         if (clock.nowMs() - joinedAtMs < settleMs) {
             return 0;
         }
-        this.forgetOutdated();
-        const entry = `${count} ${key}`;
-        const known = this.found.get(entry) ?? this.find(key, count);
-        this.found.set(entry, known);
-        return known;
+        this.clearOutdated();
+        const cacheKey = `${count} ${task}`;
+        const assignees = this.cache.get(cacheKey) ?? this.computeAssigneeCount(task, count);
+        this.cache.set(cacheKey, assignees);
+        return assignees;
     }
 
-    /** How many instances there may be; counted once for each change, since decisions ask for it many times. */
-    private possible(): number {
-        this.forgetOutdated();
-        this.count ??= this.options.members.possibleSize;
-        return this.count;
+    /** Returns {@link Members.possibleSize}, cached until the membership changes. */
+    private possibleSize(): number {
+        this.clearOutdated();
+        this.cachedSize ??= this.options.members.possibleSize;
+        return this.cachedSize;
     }
 
-    private forgetOutdated(): void {
+    private clearOutdated(): void {
         const { version } = this.options.members;
-        if (this.version !== version || this.found.size > maximumFound) {
+        if (this.version !== version || this.cache.size > maximumCacheEntries) {
             this.version = version;
-            this.found.clear();
-            this.count = undefined;
+            this.cache.clear();
+            this.cachedSize = undefined;
         }
     }
 
-    private find(key: string, count: number): number {
+    private computeAssigneeCount(task: string, count: number): number {
         const { self, others } = this.options.members;
-        const staying = [self, ...others.filter(({ leaving }) => !leaving)];
-        const chosen = rendezvousOrder(key, staying, ({ instance }) => instance).slice(0, count);
-        return chosen.includes(self) ? chosen.length : 0;
+        const candidates = [self, ...others.filter(({ leaving }) => !leaving)];
+        const assignees = rendezvousOrder(task, candidates, ({ instance }) => instance).slice(0, count);
+        return assignees.includes(self) ? assignees.length : 0;
     }
 }
--- a/packages/fleet/src/member.ts
+++ b/packages/fleet/src/member.ts
@@ -1,5 +1,5 @@
 /**
- * What is known of one entry instance.
+ * The state of one member, and the order of its updates.
  *
  * @packageDocumentation
  */
@@ -7,22 +7,22 @@
 import type { Member } from "@harrierhitch/protocol";
 
 /**
- * The state of a member as one instance believes it.
+ * The state of a member as considered by one instance.
  *
- * - `alive`: its heartbeat advances.
- * - `suspect`: no later heartbeat has come, directly or through others.
- * - `failed`: none has come for longer still, so nobody else hears it either.
- * - `left`: it announced that it leaves.
+ * - `alive`: Its heartbeat advances.
+ * - `suspect`: No newer heartbeat arrived for some time, directly or through others.
+ * - `failed`: No newer heartbeat arrived for longer, so it is unreachable for all instances.
+ * - `left`: It announced that it leaves.
  */
 export type MemberState = "alive" | "suspect" | "failed" | "left";
 
-/** Whether one piece of news of a member replaces another: a later run first, then leaving, then the later heartbeat. */
-export const isNewer = (news: Member, known: Member): boolean => {
-    if (news.incarnation !== known.incarnation) {
-        return news.incarnation > known.incarnation;
+/** Whether an update replaces the current state: a higher incarnation first, then leaving, then a higher heartbeat. */
+export const isNewer = (update: Member, current: Member): boolean => {
+    if (update.incarnation !== current.incarnation) {
+        return update.incarnation > current.incarnation;
     }
-    if (news.leaving !== known.leaving) {
-        return news.leaving;
+    if (update.leaving !== current.leaving) {
+        return update.leaving;
     }
-    return news.heartbeat > known.heartbeat;
+    return update.heartbeat > current.heartbeat;
 };
--- a/packages/fleet/src/members.ts
+++ b/packages/fleet/src/members.ts
@@ -1,5 +1,5 @@
 /**
- * The members of the fleet as one instance knows them.
+ * The members of the fleet as known to one instance.
  *
  * @packageDocumentation
  */
@@ -17,189 +17,189 @@
     readonly times: FleetTimes;
 }
 
-interface Known {
+interface MemberRecord {
     readonly member: Member;
-    /** Time of the last news. */
-    readonly heardAtMs: number;
-    /** Running number of the last news here. */
-    readonly number: bigint;
-    /** Instance that told it. */
-    readonly source: string;
+    /** Time of the last update. */
+    readonly updatedAtMs: number;
+    /** Sequence number of the last update on this instance. */
+    readonly sequence: bigint;
+    /** Instance that sent the last update. */
+    readonly sender: string;
 }
 
-/** What one instance tells another of members. */
+/** Membership changes since a cursor. */
 export interface MemberUpdates {
     readonly members: readonly Member[];
-    /** How far they bring it. */
-    readonly told: MemberCursor;
+    /** Cursor of the receiver after these updates. */
+    readonly cursor: MemberCursor;
 }
 
-/** Most members in one exchange, which bounds its bytes; the rest follow in the next ones. */
+/** Maximum number of members in one exchange; the others follow in the next exchanges. */
 const maximumPerExchange = 512;
 
-/** Heartbeats after which a member that was never heard of again is forgotten. */
-const forgetBeats = 600;
+/** Missed heartbeats after which a member is removed from the list. */
+const retentionHeartbeats = 600;
 
-/** Keeps the members, by heartbeats that are passed on from one to another. */
+/** Stores the members and detects failures by heartbeats, which are gossiped between instances. */
 export class Members {
-    /** In the order of the news. */
-    private readonly known = new Map<string, Known>();
-    /** The members as a list, until the next news. */
-    private list: readonly Member[] | undefined;
-    private own: Member;
-    private beatAtMs = -Infinity;
-    private count = 0n;
+    /** The other members, in the order of their updates. */
+    private readonly records = new Map<string, MemberRecord>();
+    /** Cached list of the other members; reset by each update. */
+    private cachedOthers: readonly Member[] | undefined;
+    private localMember: Member;
+    private lastHeartbeatAtMs = -Infinity;
+    private lastSequence = 0n;
     private changes = 0;
 
     /** @param options - Clock, this instance and times. */
     constructor(private readonly options: MembersOptions) {
-        this.own = options.self;
+        this.localMember = options.self;
     }
 
-    /** This instance as it tells of itself. */
+    /** The membership record of this instance. */
     get self(): Member {
-        return this.own;
+        return this.localMember;
     }
 
-    /** Counts what was learned of members besides that they still live. */
+    /** Version of the membership; increases with every change other than a heartbeat. */
     get version(): number {
         return this.changes;
     }
 
-    /** Changes what this instance tells of itself. */
+    /** Changes the membership record of this instance. */
     updateSelf(change: Partial<Pick<Member, "leaving" | "platformReachable" | "port">>): void {
-        this.own = create(MemberSchema, { ...this.own, ...change, heartbeat: this.own.heartbeat + 1n });
+        this.localMember = create(MemberSchema, { ...this.localMember, ...change, heartbeat: this.localMember.heartbeat + 1n });
         this.changes += Object.keys(change).length;
     }
 
-    /** Counts the heartbeat up, if it is time. */
+    /** Advances the heartbeat of this instance if its interval has passed. */
     advanceHeartbeat(): void {
         const nowMs = this.options.clock.nowMs();
-        if (nowMs - this.beatAtMs >= this.heartbeatMs) {
-            this.beatAtMs = nowMs;
+        if (nowMs - this.lastHeartbeatAtMs >= this.heartbeatMs) {
+            this.lastHeartbeatAtMs = nowMs;
             this.updateSelf({});
         }
     }
 
     /**
-     * Takes in news of members.
+     * Merges membership updates from another instance; updates that are not newer are ignored.
      *
-     * @param news - The news.
-     * @param source - The instance that told them.
+     * @param updates - The updates.
+     * @param sender - Id of the instance that sent them.
      */
-    merge(news: readonly Member[], source: string): void {
-        const heardAtMs = this.options.clock.nowMs();
-        news.forEach(member => {
-            const known = this.known.get(member.instance);
-            const isOther = member.instance !== this.own.instance && member.instance !== "";
-            if (isOther && (known === undefined || isNewer(member, known.member))) {
-                this.changes += known === undefined || isChanged(member, known.member) ? 1 : 0;
-                this.put({ member, heardAtMs, number: this.nextNumber(), source });
+    merge(updates: readonly Member[], sender: string): void {
+        const updatedAtMs = this.options.clock.nowMs();
+        updates.forEach(member => {
+            const current = this.records.get(member.instance);
+            const isOther = member.instance !== this.localMember.instance && member.instance !== "";
+            if (isOther && (current === undefined || isNewer(member, current.member))) {
+                this.changes += current === undefined || isChanged(member, current.member) ? 1 : 0;
+                this.put({ member, updatedAtMs, sequence: this.nextSequence(), sender });
             }
         });
     }
 
-    /** Gives every member new time, because this process slept and could not hear them. */
+    /** Restarts the failure timeout of every member, because this process was suspended and received no heartbeats. */
     resetTimeouts(): void {
-        const heardAtMs = this.options.clock.nowMs();
-        this.known.forEach((known, id) => this.known.set(id, { ...known, heardAtMs }));
+        const updatedAtMs = this.options.clock.nowMs();
+        this.records.forEach((record, id) => this.records.set(id, { ...record, updatedAtMs }));
     }
 
-    /** The state of a member. */
+    /** Returns the state of a member; `undefined` if it is unknown. */
     stateOf(instance: InstanceId | string): MemberState | undefined {
-        if (instance === this.own.instance) {
-            return this.own.leaving ? "left" : "alive";
+        if (instance === this.localMember.instance) {
+            return this.localMember.leaving ? "left" : "alive";
         }
-        const known = this.known.get(instance);
-        return known === undefined ? undefined : this.stateOfKnown(known);
+        const record = this.records.get(instance);
+        return record === undefined ? undefined : this.stateOfRecord(record);
     }
 
-    /** All members that are alive, this instance included. */
+    /** All alive members, including this instance. */
     get alive(): readonly Member[] {
-        const others = [...this.known.values()].filter(known => this.stateOfKnown(known) === "alive");
-        return [this.own, ...others.map(({ member }) => member)];
+        const others = [...this.records.values()].filter(record => this.stateOfRecord(record) === "alive");
+        return [this.localMember, ...others.map(({ member }) => member)];
     }
 
     /**
-     * How many instances may be running, this one included: all that were heard of and have not said that they
-     * leave, also the silent ones, which may be running behind a cut.
+     * Number of instances that may be running, including this one: all members that did not announce that they leave.
+     * Unresponsive members count, because they may be running in another partition.
      */
     get possibleSize(): number {
         return 1 + this.others.filter(member => !member.leaving).length;
     }
 
-    /** All members but this instance. */
+    /** All members except this instance. */
     get others(): readonly Member[] {
-        this.list ??= [...this.known.values()].map(({ member }) => member);
-        return this.list;
+        this.cachedOthers ??= [...this.records.values()].map(({ member }) => member);
+        return this.cachedOthers;
     }
 
-    /** A member, as it was told last. */
+    /** Returns the latest membership record of another instance. */
     find(instance: string): Member | undefined {
-        return this.known.get(instance)?.member;
+        return this.records.get(instance)?.member;
     }
 
     /**
-     * What was heard of members since another instance heard of them from here.
+     * Returns the membership updates that another instance has not received from this one.
      *
-     * @param cursor - How far it has heard.
-     * @param receiver - Its id; what it told itself is left out.
+     * @param cursor - Position up to which it has received them.
+     * @param receiver - Id of the receiver; updates that it sent are omitted.
      */
     updatesSince(cursor: MemberCursor | undefined, receiver: string): MemberUpdates {
-        const { incarnation } = this.own;
+        const { incarnation } = this.localMember;
         const after = cursor?.incarnation === incarnation ? cursor.number : 0n;
-        const later = [...this.known.values()].filter(({ number }) => number > after);
-        const told = later.slice(0, maximumPerExchange);
+        const later = [...this.records.values()].filter(({ sequence }) => sequence > after);
+        const selected = later.slice(0, maximumPerExchange);
         return {
-            members: told.filter(({ source, member }) => source !== receiver && member.instance !== receiver).map(({ member }) =>
-                member
-            ),
-            told: create(MemberCursorSchema, { incarnation, number: told.at(-1)?.number ?? after }),
+            members: selected.filter(({ sender, member }) => sender !== receiver && member.instance !== receiver).map((
+                { member },
+            ) => member),
+            cursor: create(MemberCursorSchema, { incarnation, number: selected.at(-1)?.sequence ?? after }),
         };
     }
 
-    /** Drops members that failed or left long ago. */
+    /** Removes members that failed or left long ago. */
     prune(): void {
-        const oldestMs = this.options.clock.nowMs() - forgetBeats * this.heartbeatMs;
-        const forgotten = [...this.known.values()].filter(({ heardAtMs }) => heardAtMs < oldestMs);
-        forgotten.forEach(({ member }) => this.known.delete(member.instance));
-        if (forgotten.length > 0) {
-            this.list = undefined;
+        const oldestMs = this.options.clock.nowMs() - retentionHeartbeats * this.heartbeatMs;
+        const expired = [...this.records.values()].filter(({ updatedAtMs }) => updatedAtMs < oldestMs);
+        expired.forEach(({ member }) => this.records.delete(member.instance));
+        if (expired.length > 0) {
+            this.cachedOthers = undefined;
             this.changes += 1;
         }
     }
 
     private get heartbeatMs(): number {
-        return heartbeatMsFor(this.known.size + 1);
+        return heartbeatMsFor(this.records.size + 1);
     }
 
-    private stateOfKnown({ member, heardAtMs }: Known): MemberState {
+    private stateOfRecord({ member, updatedAtMs }: MemberRecord): MemberState {
         if (member.leaving) {
             return "left";
         }
-        const { suspectHeartbeats: suspectBeats, failHeartbeats: failBeats } = this.options.times;
-        const silentBeats = (this.options.clock.nowMs() - heardAtMs) / this.heartbeatMs;
-        if (silentBeats < suspectBeats) {
+        const { suspectHeartbeats, failHeartbeats } = this.options.times;
+        const missedHeartbeats = (this.options.clock.nowMs() - updatedAtMs) / this.heartbeatMs;
+        if (missedHeartbeats < suspectHeartbeats) {
             return "alive";
         }
-        return silentBeats < failBeats ? "suspect" : "failed";
+        return missedHeartbeats < failHeartbeats ? "suspect" : "failed";
     }
 
-    private nextNumber(): bigint {
-        this.count += 1n;
-        return this.count;
+    private nextSequence(): bigint {
+        this.lastSequence += 1n;
+        return this.lastSequence;
     }
 
-    /** Puts news behind all earlier ones. */
-    private put(known: Known): void {
-        this.known.delete(known.member.instance);
-        this.known.set(known.member.instance, known);
-        this.list = undefined;
+    /** Stores a record behind all earlier updates. */
+    private put(record: MemberRecord): void {
+        this.records.delete(record.member.instance);
+        this.records.set(record.member.instance, record);
+        this.cachedOthers = undefined;
     }
 }
 
-const isChanged = (news: Member, known: Member): boolean =>
-    news.incarnation !== known.incarnation
-    || news.leaving !== known.leaving
-    || news.platformReachable !== known.platformReachable
-    || news.availabilityZone !== known.availabilityZone;
+const isChanged = (update: Member, current: Member): boolean =>
+    update.incarnation !== current.incarnation
+    || update.leaving !== current.leaving
+    || update.platformReachable !== current.platformReachable
+    || update.availabilityZone !== current.availabilityZone;
--- a/packages/fleet/src/partition-recovery.ts
+++ b/packages/fleet/src/partition-recovery.ts
@@ -1,5 +1,5 @@
 /**
- * Looking for parts of the fleet that were cut off from here.
+ * Reconnection of partitioned parts of the fleet.
  *
  * @packageDocumentation
  */
@@ -11,11 +11,11 @@
 import type { PeerCalls } from "./peer-calls.js";
 import type { Seeds } from "./seeds.js";
 
-/** A reader asks a seed again every so many beats, so that parts that were cut apart find each other: each has a reader. */
-const beatsBetweenSeeds = 5;
+/** Heartbeats between two contacts of a reader with a seed. Each partition has a reader, so partitions find each other. */
+const heartbeatsBetweenSeeds = 5;
 
-/** Failed members of other availability zones are tried every so many beats only. */
-const beatsBetweenOutsideRetries = 4;
+/** Heartbeats between two retries of failed members of other availability zones. */
+const heartbeatsBetweenRemoteRetries = 4;
 
 /** Options of {@link PartitionRecovery}. */
 export interface PartitionRecoveryOptions {
@@ -23,34 +23,34 @@
     readonly members: Members;
     readonly roles: DistributionRoles;
     readonly calls: PeerCalls;
-    /** Told when a seed has answered. */
-    readonly onHeard: () => void;
+    /** Called when a seed responded. */
+    readonly onContact: () => void;
 }
 
-/** Asks seeds that are not among the living members, and failed members: one, or whoever it knows, may be such a part. */
+/** Contacts seeds that are not among the alive members, and determines when failed members are retried. */
 export class PartitionRecovery {
-    private beats = 0;
+    private heartbeats = 0;
 
-    /** @param options - Seeds and the way to ask them. */
+    /** @param options - Seeds, members and calls. */
     constructor(private readonly options: PartitionRecoveryOptions) {}
 
-    /** Called with every beat; asks a seed where it is time for that. */
+    /** Called with each heartbeat; contacts a seed if it is due. */
     onHeartbeat(): void {
-        const { seeds, members: { alive }, roles, calls, onHeard } = this.options;
+        const { seeds, members: { alive }, roles, calls, onContact } = this.options;
         const isAlone = alive.length === 1;
-        this.beats += 1;
-        const isDue = isAlone || roles.isReader && this.beats % beatsBetweenSeeds === 0;
+        this.heartbeats += 1;
+        const isDue = isAlone || roles.isReader && this.heartbeats % heartbeatsBetweenSeeds === 0;
         const seed = isDue ? seeds.pickExcept(alive) : undefined;
         if (seed !== undefined) {
-            void calls.exchangeWith(seed, "search").then(heard => heard ? onHeard() : undefined);
+            void calls.exchangeWith(seed, "search").then(hasResponded => hasResponded ? onContact() : undefined);
         }
     }
 
-    /** Whether a member that failed is tried now: those of other availability zones by readers only, now and then. */
+    /** Whether to retry a failed member now; members of other availability zones are retried by readers only, and less often. */
     mayRetry({ availabilityZone }: Member): boolean {
         const { members: { self, others }, roles } = this.options;
         return isFullMesh(others)
             || availabilityZone === self.availabilityZone
-            || roles.isReader && this.beats % beatsBetweenOutsideRetries === 0;
+            || roles.isReader && this.heartbeats % heartbeatsBetweenRemoteRetries === 0;
     }
 }
--- a/packages/fleet/src/peer-calls.ts
+++ b/packages/fleet/src/peer-calls.ts
@@ -1,5 +1,5 @@
 /**
- * The calls of this instance to others, and what their ends say.
+ * The calls of this instance to other instances, and the handling of their results.
  *
  * @packageDocumentation
  */
@@ -20,37 +20,37 @@
     readonly times: FleetTimes;
     readonly exchange: Exchange;
     readonly roles: DistributionRoles;
-    /** Told of each exchange that is begun. */
+    /** Called when an exchange starts. */
     readonly onExchange: (reason: ExchangeReason) => void;
-    /** Told of a call that failed. */
+    /** Called when a call failed. */
     readonly onFailure: (peer: PeerAddress, error: Error) => void;
 }
 
-/** Every so many questions to a source tell observations; what is new wakes the links anyway. */
-const questionsBetweenObservations = 3;
+/** One of this many long polls carries all pending gossip; new gossip is sent by a separate exchange anyway. */
+const pollsPerFullExchange = 3;
 
-/** Exchanges news with other instances. */
+/** Exchanges state with other instances. */
 export class PeerCalls {
-    private questions = 0;
-    /** When a source last answered that it knows no better than this instance. */
-    private toldStaleAtMs = -Infinity;
+    private polls = 0;
+    /** When a reader or relay last responded with stale state. */
+    private staleResponseAtMs = -Infinity;
 
-    /** @param options - Clients, times and listeners. */
+    /** @param options - Clients, timeouts and callbacks. */
     constructor(private readonly options: PeerCallsOptions) {}
 
-    /** Whether a source has answered lately that it knows no better than this instance. */
-    get isSourceStale(): boolean {
+    /** Whether a reader or relay responded recently with stale state. */
+    get isDistributorStale(): boolean {
         const { clock, times } = this.options;
-        return clock.nowMs() - this.toldStaleAtMs < times.staleAfterMs;
+        return clock.nowMs() - this.staleResponseAtMs < times.staleAfterMs;
     }
 
     /**
-     * Exchanges news with one instance.
+     * Exchanges state with one instance.
      *
      * @param peer - The instance.
-     * @param reason - Why, for counting.
-     * @param link - How it is asked; once, without waiting, where there is none.
-     * @returns Whether it answered.
+     * @param reason - The reason, for metrics.
+     * @param link - The link; without one, the instance responds at once.
+     * @returns Whether the instance responded.
      */
     async exchangeWith(
         peer: PeerAddress & Partial<Pick<Member, "instance">>,
@@ -59,17 +59,17 @@
     ): Promise<boolean> {
         const { clock, clients, times, exchange, roles, onExchange, onFailure } = this.options;
         onExchange(reason);
-        const { waitMs = 0, role = Role.UNSPECIFIED } = link ?? {};
+        const { longPollMs = 0, role = Role.UNSPECIFIED } = link ?? {};
         try {
             const client = clients.to(peer);
-            const timeoutMs = times.callTimeoutMs + waitMs;
-            const { instance, stalenessMs: ageMs } = await exchange.initiate(
+            const timeoutMs = times.callTimeoutMs + longPollMs;
+            const { instance, stalenessMs } = await exchange.initiate(
                 request => callWithTimeout(clock, timeoutMs, signal => client.exchange(request, { signal })),
-                { longPollMs: waitMs, role, receiver: peer.instance ?? "", isDelta: waitMs > 0 && this.isBriefTurn() },
+                { longPollMs, role, receiver: peer.instance ?? "", isDelta: longPollMs > 0 && this.isDeltaPoll() },
             );
             roles.recordResponse(instance);
-            if (role !== Role.UNSPECIFIED && ageMs > times.confirmMs) {
-                this.toldStaleAtMs = clock.nowMs();
+            if (role !== Role.UNSPECIFIED && stalenessMs > times.confirmMs) {
+                this.staleResponseAtMs = clock.nowMs();
             }
             return true;
         }
@@ -79,9 +79,9 @@
         }
     }
 
-    /** Questions to a source come every second or so; observations are told less often. */
-    private isBriefTurn(): boolean {
-        this.questions += 1;
-        return this.questions % questionsBetweenObservations !== 0;
+    /** Counts a long poll; returns whether it carries recent changes only. */
+    private isDeltaPoll(): boolean {
+        this.polls += 1;
+        return this.polls % pollsPerFullExchange !== 0;
     }
 }
--- a/packages/fleet/src/peer-clients.ts
+++ b/packages/fleet/src/peer-clients.ts
@@ -1,5 +1,5 @@
 /**
- * Clients of other instances.
+ * Clients for calls to other instances.
  *
  * @packageDocumentation
  */
@@ -8,25 +8,25 @@
 import type { Clock } from "@harrierhitch/core";
 import type { PeerService } from "@harrierhitch/protocol";
 
-/** Where an instance is reached by other instances. */
+/** The address at which an instance accepts calls of other instances. */
 export interface PeerAddress {
     readonly address: string;
     readonly port: number;
 }
 
-/** Opens clients of other instances; the way to replace the network in tests. */
+/** Creates clients for other instances; tests replace it to simulate the network. */
 export interface PeerClients {
-    /** The client of the instance at an address. */
+    /** Returns the client for the instance at an address. */
     to(peer: PeerAddress): Client<typeof PeerService>;
-    /** Closes connections that are no longer needed. */
+    /** Closes all connections. */
     close(): void;
 }
 
 /**
- * Makes a call that is given up after a time, on the instance's clock.
+ * Makes a call with a timeout on the instance's clock.
  *
  * @param clock - The clock.
- * @param timeoutMs - Longest time.
+ * @param timeoutMs - Timeout in milliseconds.
  * @param call - The call, which must honour the signal.
  */
 export const callWithTimeout = async <Response>(
--- a/packages/fleet/src/peer-links.ts
+++ b/packages/fleet/src/peer-links.ts
@@ -1,5 +1,5 @@
 /**
- * The links of this instance: one task for each peer that it talks to.
+ * The links of this instance, with one task for each linked member.
  *
  * @packageDocumentation
  */
@@ -16,13 +16,13 @@
     readonly clock: Clock;
     readonly random: RandomSource;
     readonly members: Members;
-    /** Chooses the links among members that may be talked to. */
-    readonly choose: (members: readonly Member[]) => readonly Link[];
-    /** Whether a member that failed is tried now and then. */
+    /** Selects the links among the reachable members. */
+    readonly select: (members: readonly Member[]) => readonly Link[];
+    /** Whether to retry a failed member now. */
     readonly mayRetry: (member: Member) => boolean;
-    /** Exchanges news with one member, which may keep its answer back for a time; tells whether it answered. */
+    /** Exchanges state with a member, as a long poll if the link specifies one; resolves with whether it responded. */
     readonly exchangeWith: (member: Member, reason: ExchangeReason, link?: Link) => Promise<boolean>;
-    /** Told when an exchange had to wait because the one before it was just now. */
+    /** Called when an exchange is delayed by the minimum interval. */
     readonly onLimited: () => void;
 }
 
@@ -31,45 +31,47 @@
     private readonly tasks = new Map<string, LinkTask>();
     private links = new Map<string, Link>();
 
-    /** @param options - Members and the way to talk to them. */
+    /** @param options - Members, selection and exchanges. */
     constructor(private readonly options: PeerLinksOptions) {}
 
     /**
-     * Lets links exchange now, because there is news.
+     * Starts exchanges over the links without waiting for their intervals.
      *
-     * @param isUrgent - Whether members that keep their answers back have to hear it, too, before those are due.
+     * @param isUrgent - Whether to include links with a pending long poll.
      */
     wake(isUrgent: boolean): void {
         this.tasks.forEach(task => task.wake(isUrgent));
     }
 
-    /** Whether a member is one of the links. */
+    /** Whether a member is linked. */
     includes(instance: string): boolean {
         return this.links.has(instance);
     }
 
-    /** Ends all tasks. */
+    /** Stops all tasks. */
     stop(): void {
         this.tasks.forEach(task => task.stop());
         this.tasks.clear();
     }
 
-    /** Starts a task for each peer that is a link now, and ends those of former links. */
+    /** Selects the links anew, starts the tasks of new links and stops those of removed links. */
     refresh(): void {
         const candidates = this.options.members.others.filter(member =>
             member.port > 0 && this.options.members.stateOf(member.instance) !== "left"
         );
         const reachable = candidates.filter(member => this.options.members.stateOf(member.instance) !== "failed");
-        // A failed member is tried now and then, so that halves that were cut apart find each other again.
+        // Retries one failed member, so that the parts of a partitioned fleet reconnect.
         const failed = candidates.filter(member => !reachable.includes(member) && this.options.mayRetry(member));
         const retried = failed[Math.floor(this.options.random.next() * failed.length)];
-        const links = new Map(this.options.choose(reachable).map(link => [link.member.instance, link]));
+        const links = new Map(this.options.select(reachable).map(link => [link.member.instance, link]));
         if (retried !== undefined) {
             void this.options.exchangeWith(retried, "search");
         }
         this.tasks.forEach((task, id) => {
-            // A link that becomes one to a source must not sleep on as the quiet one that it was.
-            if (links.get(id)?.waitMs !== this.links.get(id)?.waitMs || links.get(id)?.role !== this.links.get(id)?.role) {
+            // Restarts the task of a link whose kind changed, because it may be sleeping for the interval of the previous kind.
+            if (
+                links.get(id)?.longPollMs !== this.links.get(id)?.longPollMs || links.get(id)?.role !== this.links.get(id)?.role
+            ) {
                 task.stop();
                 this.tasks.delete(id);
             }
@@ -77,12 +79,12 @@
         this.links = links;
         links.forEach((link, id) => {
             if (!this.tasks.has(id)) {
-                this.tasks.set(id, this.taskFor(id, link));
+                this.tasks.set(id, this.createTask(id, link));
             }
         });
     }
 
-    private taskFor(id: string, link: Link): LinkTask {
+    private createTask(id: string, link: Link): LinkTask {
         const { clock, random, members, exchangeWith, onLimited } = this.options;
         return new LinkTask({
             clock,
--- a/packages/fleet/src/peer-service.ts
+++ b/packages/fleet/src/peer-service.ts
@@ -1,5 +1,5 @@
 /**
- * What this instance answers to other instances.
+ * The RPC service that this instance offers to other instances.
  *
  * @packageDocumentation
  */
@@ -12,40 +12,43 @@
 export interface PeerServiceOptions {
     readonly fleetName: string;
     readonly fleet: Fleet;
-    /** Explains a request that this instance decided. */
+    /** Returns the explanation of a request that this instance decided; `undefined` without a record of it. */
     readonly explain: (requestId: string) => Explanation | undefined;
     readonly status: () => InstanceStatus;
-    /** Told of a caller that was refused. */
+    /** Called when a call is rejected. */
     readonly onRejected: (reason: string) => void;
 }
 
-/** Most members and observations in one message. */
+/** Maximum number of members, of observations and of crash records in one message. */
 const maximumItems = 1024;
 
-/** Most listings in one message: a fleet's upstreams, with room for those that were replaced lately. */
+/** Maximum number of directory entries in one message. */
 const maximumListings = 50_000;
 
-/** Implements the service that instances offer each other. */
+/** Creates the service that instances offer to each other. */
 export const peerService = (options: PeerServiceOptions): ServiceImpl<typeof PeerService> => {
     const { fleet } = options;
-    const admit = (fleetName: string): void => {
+    const checkFleet = (fleetName: string): void => {
         if (fleetName !== options.fleetName) {
             options.onRejected(`fleet ${fleetName.slice(0, 64)}`);
             throw new ConnectError("this instance belongs to another fleet", Code.PermissionDenied);
         }
     };
-    const bounded = (isBounded: boolean, what: string): void => {
-        if (!isBounded) {
-            options.onRejected(what);
-            throw new ConnectError(`${what} is over the limit`, Code.InvalidArgument);
+    const checkLimit = (isWithinLimit: boolean, name: string): void => {
+        if (!isWithinLimit) {
+            options.onRejected(name);
+            throw new ConnectError(`${name} is over the limit`, Code.InvalidArgument);
         }
     };
     return {
         exchange: request => {
-            admit(request.fleet);
-            bounded(request.members.length <= maximumItems && request.observations.length <= maximumItems, "the number of items");
-            bounded(Math.max(request.endedRuns.length, request.withheld.length) <= maximumItems, "the number of runs");
-            bounded((request.directory?.listings.length ?? 0) <= maximumListings, "the number of listings");
+            checkFleet(request.fleet);
+            checkLimit(
+                request.members.length <= maximumItems && request.observations.length <= maximumItems,
+                "the number of items",
+            );
+            checkLimit(Math.max(request.endedRuns.length, request.withheld.length) <= maximumItems, "the number of runs");
+            checkLimit((request.directory?.listings.length ?? 0) <= maximumListings, "the number of listings");
             return fleet.exchange.respond(request);
         },
         explainLocal: request => {
--- a/packages/fleet/src/seeds.ts
+++ b/packages/fleet/src/seeds.ts
@@ -1,5 +1,5 @@
 /**
- * The instances that are asked first for the others.
+ * The seeds, which an instance contacts to discover the other members.
  *
  * @packageDocumentation
  */
@@ -10,41 +10,41 @@
 /** Options of {@link Seeds}. */
 export interface SeedsOptions {
     readonly random: RandomSource;
-    /** Where this instance is reached; it is none of its own seeds. */
+    /** Address of this instance, which is excluded from the seeds. */
     readonly self: PeerAddress;
     readonly addresses: readonly PeerAddress[];
 }
 
-/** Keeps the seeds, which may be gone or never have been there. */
+/** Stores the addresses of the seeds; a seed may be unreachable. */
 export class Seeds {
     private addresses: readonly PeerAddress[] = [];
     private isSeed = false;
 
-    /** @param options - The first seeds. */
+    /** @param options - The initial seeds. */
     constructor(private readonly options: SeedsOptions) {
         this.replace(options.addresses);
     }
 
-    /** The seeds. */
+    /** The seeds except this instance. */
     get all(): readonly PeerAddress[] {
         return this.addresses;
     }
 
-    /** Whether this instance is one of the seeds, whom all others ask first. */
+    /** Whether this instance is one of the seeds. */
     get includesSelf(): boolean {
         return this.isSeed;
     }
 
-    /** Takes over other seeds. */
+    /** Replaces the seeds. */
     replace(addresses: readonly PeerAddress[]): void {
         this.isSeed = addresses.some(address => isSame(address, this.options.self));
         this.addresses = addresses.filter(address => !isSame(address, this.options.self));
     }
 
-    /** Draws a seed that is none of some instances; `undefined` when there is none. */
-    pickExcept(known: readonly PeerAddress[]): PeerAddress | undefined {
-        const unknown = this.addresses.filter(address => !known.some(other => isSame(address, other)));
-        return unknown[Math.floor(this.options.random.next() * unknown.length)];
+    /** Returns a random seed that is none of the given instances; `undefined` if there is none. */
+    pickExcept(excluded: readonly PeerAddress[]): PeerAddress | undefined {
+        const candidates = this.addresses.filter(address => !excluded.some(other => isSame(address, other)));
+        return candidates[Math.floor(this.options.random.next() * candidates.length)];
     }
 }
 
--- a/packages/fleet/src/select-distributors.ts
+++ b/packages/fleet/src/select-distributors.ts
@@ -1,9 +1,9 @@
 /**
- * Which instances read the platform, and which pass on what they read, so that neither the calls to the platform nor
- * the work of any one instance grow with the fleet.
+ * Selection of readers, which read the platform, and of relays, which forward changes within their availability zone. They
+ * keep the number of calls to the platform and the load of each instance independent of the size of the fleet.
  *
- * Every instance finds them on its own from the members it believes able. Where what is believed differs, a few more
- * instances read or relay for a while, never none: whoever is asked as a reader or relay is one.
+ * Every instance selects them independently from the members that it considers eligible. An instance that is polled in a
+ * role takes that role, so differing selections add readers or relays for a while, but never leave the fleet without one.
  *
  * @packageDocumentation
  */
@@ -11,48 +11,45 @@
 import { rendezvousOrder } from "@harrierhitch/core";
 import type { Member } from "@harrierhitch/protocol";
 
-/**
- * Instances of one availability zone that one relay serves: each asks twice a second while something changes all the
- * time, and an answer takes some 4 ms of a core, so that the answers take a tenth of a core at most.
- */
+/** Instances of one availability zone per relay. */
 const instancesPerRelay = 12;
 
-/** Relays that one reader serves: readers tell them twice a second at most as well. */
+/** Relays per reader. */
 const relaysPerReader = 64;
 
-/** Readers of a fleet in which not everyone talks to everyone: with two, the loss of one costs nobody a call. */
+/** Minimum number of readers in a fleet of more than {@link singleReaderSize} members, so that one may fail. */
 const minimumReaders = 2;
 
-/** Members up to which one reader will do: everyone talks to everyone there, and notices its loss at once. */
-const oneReaderSize = 6;
+/** Number of members up to which there is one reader; in such a fleet all instances detect its failure at once. */
+const singleReaderSize = 6;
 
-/** Readers that a relay asks. */
+/** Readers that each relay polls. */
 export const readersPerRelay = 2;
 
 /**
- * The readers of the fleet.
+ * Selects the readers of the fleet.
  *
- * @param able - Members that live, answer and reach the platform.
+ * @param eligible - Members that are alive, responsive and able to reach the platform.
  */
-export const selectReaders = (able: readonly Member[]): readonly Member[] => {
-    const count = able.length <= oneReaderSize
+export const selectReaders = (eligible: readonly Member[]): readonly Member[] => {
+    const count = eligible.length <= singleReaderSize
         ? 1
-        : Math.max(minimumReaders, Math.ceil(able.length / (instancesPerRelay * relaysPerReader)));
-    return rendezvousOrder("readers", able, idOf).slice(0, count);
+        : Math.max(minimumReaders, Math.ceil(eligible.length / (instancesPerRelay * relaysPerReader)));
+    return rendezvousOrder("readers", eligible, idOf).slice(0, count);
 };
 
 /**
- * The relays of an availability zone: first its readers, since what they tell crosses no zone.
+ * Selects the relays of an availability zone; readers in the zone come first, because their changes cross no zone.
  *
  * @param zone - The availability zone.
- * @param able - Members that live and answer.
+ * @param eligible - Members that are alive and responsive.
  * @param readers - The readers of the fleet.
  */
-export const selectRelays = (zone: string, able: readonly Member[], readers: readonly Member[]): readonly Member[] => {
-    const inside = able.filter(member => member.availabilityZone === zone);
+export const selectRelays = (zone: string, eligible: readonly Member[], readers: readonly Member[]): readonly Member[] => {
+    const inZone = eligible.filter(member => member.availabilityZone === zone);
     const isReader = (member: Member): boolean => readers.some(({ instance }) => instance === member.instance);
-    const others = rendezvousOrder("relays", inside.filter(member => !isReader(member)), idOf);
-    return [...inside.filter(isReader), ...others].slice(0, Math.ceil(inside.length / instancesPerRelay));
+    const others = rendezvousOrder("relays", inZone.filter(member => !isReader(member)), idOf);
+    return [...inZone.filter(isReader), ...others].slice(0, Math.ceil(inZone.length / instancesPerRelay));
 };
 
 const idOf = ({ instance }: Member): string => instance;
--- a/packages/fleet/src/self-member.ts
+++ b/packages/fleet/src/self-member.ts
@@ -1,5 +1,5 @@
 /**
- * What this instance tells others of itself when it begins.
+ * The initial membership record of this instance.
  *
  * @packageDocumentation
  */
@@ -8,7 +8,7 @@
 import { type Member, MemberSchema } from "@harrierhitch/protocol";
 import type { FleetOptions } from "./fleet-options.js";
 
-/** Makes the member that this instance is. */
+/** Creates the membership record of this instance. */
 export const createSelfMember = (
     { instance, incarnation, availabilityZone, address, port }: Pick<
         FleetOptions,
--- a/packages/fleet/src/staleness-tracker.ts
+++ b/packages/fleet/src/staleness-tracker.ts
@@ -1,89 +1,90 @@
 /**
- * How old this instance's knowledge of what the platform publishes is.
+ * The staleness of this instance's copy of the published state.
  *
  * @packageDocumentation
  */
 
 import { type Clock, sleep, type Timer } from "@harrierhitch/core";
 
-/** Part of the time between two confirmations by which knowledge has to become younger before that alone is told. */
+/** Share of the confirmation interval by which the staleness has to drop before waiters are notified of that alone. */
 export const notifyShare = 0.6;
 
-/** Keeps the latest moment as of which nothing published is known to be missing here. */
+/** Tracks the latest time as of which no published change is missing, and who waits for a change. */
 export class StalenessTracker {
     private confirmedAtMs = -Infinity;
-    private toldAtMs = -Infinity;
-    private endedWaitsAtMs = -Infinity;
-    private due: Timer | undefined;
-    private readonly waiting = new Set<AbortController>();
+    private notifiedConfirmationAtMs = -Infinity;
+    private notifiedAtMs = -Infinity;
+    private pendingNotification: Timer | undefined;
+    private readonly waiters = new Set<AbortController>();
 
     /**
      * @param clock - The clock.
-     * @param tellStepMs - How much younger knowledge has to become before those who wait are told of that alone: with
-     *   two readers, half of their confirmations bring nothing that anyone needs.
-     * @param tellGapMs - Shortest time between two moments at which those who wait are told. Each of them asks again at
-     *   once: told of each change by itself, a relay of many followers would need more than a small instance has.
+     * @param minNotifyStepMs - Decrease of the staleness, in milliseconds, from which waiters are notified of a
+     *   confirmation without changes.
+     * @param minNotifyIntervalMs - Minimum interval between two notifications, in milliseconds. It bounds the load, because
+     *   each subscriber polls again at once.
      */
-    constructor(private readonly clock: Clock, private readonly tellStepMs = 0, private readonly tellGapMs = 0) {}
+    constructor(
+        private readonly clock: Clock,
+        private readonly minNotifyStepMs = 0,
+        private readonly minNotifyIntervalMs = 0,
+    ) {}
 
-    /** Milliseconds since that moment; infinite before the first confirmation. */
+    /** Milliseconds since the latest confirmed time; infinite before the first confirmation. */
     get stalenessMs(): number {
         return this.clock.nowMs() - this.confirmedAtMs;
     }
 
-    /** The same; `undefined` before the first confirmation. */
+    /** Like {@link StalenessTracker.stalenessMs}, but `undefined` before the first confirmation. */
     get confirmedStalenessMs(): number | undefined {
         return Number.isFinite(this.stalenessMs) ? this.stalenessMs : undefined;
     }
 
     /**
-     * Notes that nothing is missing as of some time ago; older news never undoes later news.
+     * Records that no published change is missing as of some time ago. An earlier time than the recorded one is ignored.
      *
-     * @param ageMs - Milliseconds since then.
+     * @param ageMs - Milliseconds since that time.
      */
     confirm(ageMs: number): void {
         const confirmedAtMs = this.clock.nowMs() - ageMs;
         this.confirmedAtMs = Math.max(this.confirmedAtMs, confirmedAtMs);
-        if (this.confirmedAtMs - this.toldAtMs > this.tellStepMs) {
+        if (this.confirmedAtMs - this.notifiedConfirmationAtMs > this.minNotifyStepMs) {
             this.notifyWaiters();
         }
     }
 
-    /**
-     * Ends the wait of everyone, because there is something new. What comes up within the gap is told together:
-     * each of those who wait answers with a question.
-     */
+    /** Wakes all waiters, immediately or at the end of the minimum interval. */
     notifyWaiters(): void {
         const { clock } = this;
-        const dueInMs = this.endedWaitsAtMs + this.tellGapMs - clock.nowMs();
+        const dueInMs = this.notifiedAtMs + this.minNotifyIntervalMs - clock.nowMs();
         if (dueInMs <= 0) {
-            this.endWaits();
+            this.wakeWaiters();
         }
         else {
-            this.due ??= clock.after(dueInMs, () => this.endWaits());
+            this.pendingNotification ??= clock.after(dueInMs, () => this.wakeWaiters());
         }
     }
 
-    private endWaits(): void {
-        this.due?.cancel();
-        this.due = undefined;
-        this.endedWaitsAtMs = this.clock.nowMs();
-        this.toldAtMs = this.confirmedAtMs;
-        this.waiting.forEach(waiting => waiting.abort());
+    private wakeWaiters(): void {
+        this.pendingNotification?.cancel();
+        this.pendingNotification = undefined;
+        this.notifiedAtMs = this.clock.nowMs();
+        this.notifiedConfirmationAtMs = this.confirmedAtMs;
+        this.waiters.forEach(waiter => waiter.abort());
     }
 
     /**
-     * Waits until there is something new.
+     * Waits for a change.
      *
-     * @param timeoutMs - Longest wait.
-     * @returns Milliseconds that it took.
+     * @param timeoutMs - Maximum wait in milliseconds.
+     * @returns The duration of the wait in milliseconds.
      */
     async waitForChange(timeoutMs: number): Promise<number> {
-        const sinceMs = this.clock.nowMs();
-        const waiting = new AbortController();
-        this.waiting.add(waiting);
-        await sleep(this.clock, timeoutMs, waiting.signal);
-        this.waiting.delete(waiting);
-        return this.clock.nowMs() - sinceMs;
+        const startedAtMs = this.clock.nowMs();
+        const waiter = new AbortController();
+        this.waiters.add(waiter);
+        await sleep(this.clock, timeoutMs, waiter.signal);
+        this.waiters.delete(waiter);
+        return this.clock.nowMs() - startedAtMs;
     }
 }
