--- a/packages/fleet/src/contact-peers.ts
+++ b/packages/fleet/src/contact-peers.ts
@@ -1,5 +1,5 @@
 /**
- * Hearing other instances at the start.
+ * The first contact with other instances after a start or a stall.
  *
  * @packageDocumentation
  */
@@ -10,31 +10,33 @@
 import type { PeerAddress } from "./peer-clients.js";
 import type { Seeds } from "./seeds.js";
 
-/** Options of {@link hearOthers}. */
-export interface HearOthersOptions {
+/** Options of {@link contactPeers}. */
+export interface ContactPeersOptions {
     readonly clock: Clock;
     readonly calls: PeerCalls;
     readonly members: Members;
     readonly seeds: Seeds;
-    /** Longest wait. */
+    /** Maximum wait in milliseconds. */
     readonly timeoutMs: number;
     /** Ends the wait. */
     readonly signal: AbortSignal;
 }
 
-/** Members that are asked at the start. */
-const linksAtStart = 4;
+/** Peers that are contacted in parallel. */
+const peersPerAttempt = 4;
 
-/** Pause between two rounds of asking at the start. */
-const hearRetryMs = 50;
+/** Delay before the next attempt, in milliseconds. */
+const retryDelayMs = 50;
 
 /**
- * Asks members, or seeds while none is known, until one answers.
+ * Exchanges state with members, or with seeds if no member is known, until one responds.
  *
- * @param options - Whom to ask, and for how long.
- * @returns Whether one was heard, or there is nobody to hear.
+ * @param options - The peers and the timeout.
+ * @returns Whether one responded, or there are no peers.
  */
-export const hearOthers = async ({ clock, calls, members, seeds, timeoutMs, signal }: HearOthersOptions): Promise<boolean> => {
+export const contactPeers = async (
+    { clock, calls, members, seeds, timeoutMs, signal }: ContactPeersOptions,
+): Promise<boolean> => {
     const untilMs = clock.nowMs() + timeoutMs;
     while (clock.nowMs() < untilMs && !signal.aborted) {
         const others: readonly PeerAddress[] = members.others.filter(member => !member.leaving);
@@ -42,11 +44,11 @@
         if (peers.length === 0) {
             return true;
         }
-        const heard = await Promise.all(peers.slice(0, linksAtStart).map(peer => calls.exchangeWith(peer, "search")));
-        if (heard.includes(true)) {
+        const responded = await Promise.all(peers.slice(0, peersPerAttempt).map(peer => calls.exchangeWith(peer, "search")));
+        if (responded.includes(true)) {
             return true;
         }
-        await sleep(clock, hearRetryMs, signal);
+        await sleep(clock, retryDelayMs, signal);
     }
     return false;
 };
