--- a/packages/daemon/src/request/admission-interval.ts
+++ b/packages/daemon/src/request/admission-interval.ts
@@ -1,28 +1,28 @@
 /**
- * How fast requests that wait are sent on.
+ * Measures the rate at which queued requests are sent.
  *
  * @packageDocumentation
  */
 
-/** Admissions that are remembered: enough to tell a pace, few enough to follow a rush. */
-const remembered = 8;
+/** Number of recent admissions that are averaged. */
+const sampleCount = 8;
 
-/** Time after which an admission no longer tells of the present, in milliseconds. */
-const rememberedMs = 2000;
+/** Age above which an admission is ignored, in milliseconds. */
+const sampleWindowMs = 2000;
 
-/** Measures the time between two admissions out of a queue that is never empty in between. */
+/** Average time between admissions from a queue. */
 export class AdmissionInterval {
     private admittedAtMs: readonly number[] = [];
 
-    /** Notes an admission. */
-    note(atMs: number): void {
-        this.admittedAtMs = [...this.admittedAtMs, atMs].slice(-remembered);
+    /** Records an admission. */
+    record(atMs: number): void {
+        this.admittedAtMs = [...this.admittedAtMs, atMs].slice(-sampleCount);
     }
 
-    /** Milliseconds from one admission to the next; 0 while too little is known. */
+    /** Milliseconds between two admissions; 0 while there are too few recent ones. */
     intervalMs(nowMs: number): number {
-        const recent = this.admittedAtMs.filter(atMs => nowMs - atMs <= rememberedMs);
+        const recent = this.admittedAtMs.filter(atMs => nowMs - atMs <= sampleWindowMs);
         const [first] = recent;
-        return first === undefined || recent.length < remembered ? 0 : (nowMs - first) / recent.length;
+        return first === undefined || recent.length < sampleCount ? 0 : (nowMs - first) / recent.length;
     }
 }
--- a/packages/daemon/src/request/announced-limit.ts
+++ b/packages/daemon/src/request/announced-limit.ts
@@ -1,42 +1,42 @@
 /**
- * Reading how many requests a second an upstream says that it takes.
+ * Parses the rate limit that an upstream announces.
  *
  * @packageDocumentation
  */
 
-/** What an answer says of how much its sender takes from all instances together. */
+/** The rate limit that a response announces, for all instances together. */
 export type ParsedLimit =
     | {
-        /** It names no limit. */
+        /** The response announces no limit. */
         readonly type: "none";
     }
     | {
         readonly type: "named";
-        /** Requests a second; 0 is a limit, too. */
+        /** Requests per second; 0 is a valid limit. */
         readonly perSecond: number;
     }
     | {
-        /** It names something that is no limit; the rest of the answer holds all the same. */
+        /** The header is invalid; it does not affect the rest of the response. */
         readonly type: "unreadable";
         readonly text: string;
     };
 
-/** The reading of an answer that names no limit. */
+/** Result for a response that announces no limit. */
 export const noLimit: ParsedLimit = { type: "none" };
 
-/** Most requests a second that are taken for meant: more than any one machine answers. */
+/** Highest limit that is accepted, in requests per second. */
 const maximumPerSecond = 1_000_000;
 
-/** Most characters of an unreadable header that are told. */
-const maximumTold = 64;
+/** Most characters of an invalid header that are reported. */
+const maximumLoggedCharacters = 64;
 
 const decimalPattern = /^(\d{1,9}(\.\d{0,20})?|\.\d{1,20})$/;
 
 /**
- * Reads a limit.
+ * Parses a rate limit.
  *
- * @param header - The header's value; one that stands several times comes as one text with commas, or as several.
- * @returns The limit; unreadable where it is no decimal number, too large, or several that differ.
+ * @param header - Value of the header; a repeated header is one text with commas, or several texts.
+ * @returns The limit; unreadable if it is not a decimal number, too large, or repeated with different values.
  */
 export const readLimit = (header: string | readonly string[] | undefined): ParsedLimit => {
     if (header === undefined) {
@@ -44,9 +44,9 @@
     }
     const text = typeof header === "string" ? header : header.join(",");
     const parts = text.split(",").map(part => part.trim());
-    const figures = new Set(parts.map(part => decimalPattern.test(part) ? Number(part) : NaN));
-    const [perSecond = NaN] = figures;
-    return figures.size === 1 && perSecond <= maximumPerSecond
+    const values = new Set(parts.map(part => decimalPattern.test(part) ? Number(part) : NaN));
+    const [perSecond = NaN] = values;
+    return values.size === 1 && perSecond <= maximumPerSecond
         ? { type: "named", perSecond }
-        : { type: "unreadable", text: text.slice(0, maximumTold) };
+        : { type: "unreadable", text: text.slice(0, maximumLoggedCharacters) };
 };
--- a/packages/daemon/src/request/apply-response.ts
+++ b/packages/daemon/src/request/apply-response.ts
@@ -1,5 +1,5 @@
 /**
- * Taking in what the head of an answer says of its sender: the one place where a reading turns into what is believed.
+ * Applies the head of a response to the estimates of its upstream.
  *
  * @packageDocumentation
  */
@@ -9,130 +9,132 @@
 import type { LoadReport, ParsedResponse } from "./header-protocol.js";
 import type { ResponseNotice } from "./response-notice.js";
 
-/** The head of an answer, with whom it came from. */
+/** The head of a response to a request or a probe, with its upstream. */
 export interface ReceivedResponse {
     readonly clock: Clock;
     readonly tracker: UpstreamTracker;
     readonly upstream: UpstreamEntry;
     readonly response: ParsedResponse;
-    /** When the request or the probe was sent. */
+    /** Time at which the request or the probe was sent. */
     readonly sentAtMs: number;
     readonly isProbe: boolean;
 }
 
-/** Takes in one field; each field of a reading has one, so that nothing an upstream says is passed on unheard. */
-type Takers<Reading> = { readonly [Field in keyof Required<Reading>]: (value: Reading[Field], heard: ReceivedResponse) => void; };
+/** A handler for each field, so that the compiler reports a field without one. */
+type FieldHandlers<Parsed> = {
+    readonly [Field in keyof Required<Parsed>]: (value: Parsed[Field], heard: ReceivedResponse) => void;
+};
 
-/** Least load of an upstream that sheds, in its slots. */
-const shedLoadFactor = 4;
+/** Least load that is assumed for an upstream that sheds, as a multiple of its slots. */
+const shedLoadPerSlot = 4;
 
 /**
- * Brings the beliefs about an upstream up to date by the head of its answer to a request or to a probe.
+ * Updates the estimates of an upstream from the head of its response to a request or a probe.
  *
- * @param heard - The answer.
+ * @param received - The response.
  */
-export const applyResponse = (heard: ReceivedResponse): void => takeEach(answerTakers, heard.response, heard);
+export const applyResponse = (received: ReceivedResponse): void => applyFields(responseHandlers, received.response, received);
 
-const takeEach = <Reading extends object>(takers: Takers<Reading>, reading: Reading, heard: ReceivedResponse): void =>
-    (Object.keys(takers) as (keyof Reading)[]).forEach(field => takers[field](reading[field], heard));
+const applyFields = <Parsed extends object>(handlers: FieldHandlers<Parsed>, parsed: Parsed, received: ReceivedResponse): void =>
+    (Object.keys(handlers) as (keyof Parsed)[]).forEach(field => handlers[field](parsed[field], received));
 
-const observe = ({ tracker: beliefs, upstream }: ReceivedResponse, observation: Observation): void =>
-    beliefs.observe(upstream.id, observation, upstream.startedAtMs);
+const observe = ({ tracker, upstream }: ReceivedResponse, observation: Observation): void =>
+    tracker.observe(upstream.id, observation, upstream.startedAtMs);
 
-/** Whether the answer is the upstream's own, to what was asked; others tell nothing of its load. */
-const isOwn = ({ response: { mismatch: foreign, misdirected } }: ReceivedResponse): boolean =>
-    foreign === undefined && !misdirected;
+/** Whether the response was sent by the addressed upstream for this request; only then its load report applies. */
+const isFromTarget = ({ response: { mismatch, misdirected } }: ReceivedResponse): boolean =>
+    mismatch === undefined && !misdirected;
 
-/** For what is told elsewhere, or decides what the caller gets, and teaches nothing of the upstream by itself. */
-const nothing = (): void => undefined;
+/** For fields that don't change the estimates by themselves. */
+const ignore = (): void => undefined;
 
-/** What an upstream says of its future holds, whichever request it answers. */
-const noticeTakers: Takers<ResponseNotice> = {
-    draining: (leaving, heard) => {
-        const { clock } = heard;
-        if (leaving) {
-            observe(heard, { type: "draining", atMs: clock.nowMs(), saidAtUnixMs: clock.wallMs() });
+/** Notices apply whichever request the response belongs to. */
+const noticeHandlers: FieldHandlers<ResponseNotice> = {
+    draining: (draining, received) => {
+        const { clock } = received;
+        if (draining) {
+            observe(received, { type: "draining", atMs: clock.nowMs(), saidAtUnixMs: clock.wallMs() });
         }
     },
-    backoffMs: (restMs, heard) => {
-        const { clock } = heard;
-        if (restMs !== undefined) {
-            observe(heard, { type: "resting", atMs: clock.nowMs(), backoffMs: restMs, saidAtUnixMs: clock.wallMs() });
+    backoffMs: (backoffMs, received) => {
+        const { clock } = received;
+        if (backoffMs !== undefined) {
+            observe(received, { type: "resting", atMs: clock.nowMs(), backoffMs, saidAtUnixMs: clock.wallMs() });
         }
     },
-    limit: (limit, heard) => {
-        const { clock, isProbe, sentAtMs } = heard;
-        // What was answered late, or to a probe, need not name a limit that still holds.
-        const isSilence = limit.type === "none" && (isProbe || !isOwn(heard));
-        if (limit.type !== "unreadable" && !isSilence) {
+    limit: (limit, received) => {
+        const { clock, isProbe, sentAtMs } = received;
+        // A response to a probe or to another request may lack the limit although it still applies.
+        const isAbsenceIgnored = limit.type === "none" && (isProbe || !isFromTarget(received));
+        if (limit.type !== "unreadable" && !isAbsenceIgnored) {
             const perSecond = limit.type === "named" ? limit.perSecond : undefined;
-            observe(heard, { type: "limited", atMs: clock.nowMs(), perSecond, sentAtMs });
+            observe(received, { type: "limited", atMs: clock.nowMs(), perSecond, sentAtMs });
         }
     },
-    invalidRetryAfter: nothing,
+    invalidRetryAfter: ignore,
 };
 
-/** In the order in which they are taken in. */
-const answerTakers: Takers<ParsedResponse> = {
-    misdirected: (misdirected, heard) => {
+/** Handlers in the order in which the fields are applied. */
+const responseHandlers: FieldHandlers<ParsedResponse> = {
+    misdirected: (misdirected, received) => {
         if (misdirected) {
-            observe(heard, { type: "draining", atMs: heard.clock.nowMs() });
+            observe(received, { type: "draining", atMs: received.clock.nowMs() });
         }
     },
-    notice: (notice, heard) => takeEach(noticeTakers, notice, heard),
-    coldMs: (coldMs, heard) => {
-        if (isOwn(heard) && coldMs !== undefined && coldMs > 0) {
-            observe(heard, { type: "cooled", atMs: heard.clock.nowMs(), coldMs });
+    notice: (notice, received) => applyFields(noticeHandlers, notice, received),
+    coldMs: (coldMs, received) => {
+        if (isFromTarget(received) && coldMs !== undefined && coldMs > 0) {
+            observe(received, { type: "cooled", atMs: received.clock.nowMs(), coldMs });
         }
     },
-    load: (load, heard) => {
-        if (isOwn(heard)) {
-            takeLoad(load, heard);
+    load: (load, received) => {
+        if (isFromTarget(received)) {
+            applyLoad(load, received);
         }
     },
-    // Taken in with the load.
-    shed: nothing,
-    failed: nothing,
-    mismatch: nothing,
-    outcome: nothing,
-    retryable: nothing,
-    forwardable: nothing,
+    // Applied together with the load.
+    shed: ignore,
+    failed: ignore,
+    mismatch: ignore,
+    outcome: ignore,
+    retryable: ignore,
+    forwardable: ignore,
 };
 
-const takeLoad = (load: LoadReport | undefined, heard: ReceivedResponse): void => {
-    const { clock, isProbe, response: reading, sentAtMs } = heard;
+const applyLoad = (load: LoadReport | undefined, received: ReceivedResponse): void => {
+    const { clock, isProbe, response, sentAtMs } = received;
     const atMs = clock.nowMs();
     if (isProbe) {
         if (load !== undefined) {
-            observe(heard, { type: "reported", atMs, ...load });
+            observe(received, { type: "reported", atMs, ...load });
         }
     }
-    else if (reading.shed) {
-        takeShed(load, heard);
+    else if (response.shed) {
+        applyShed(load, received);
     }
     else {
-        const { inFlight: reportedInFlight, ...figures } = load ?? { inFlight: undefined };
-        observe(heard, {
+        const { inFlight: reportedInFlight, ...loadFields } = load ?? { inFlight: undefined };
+        observe(received, {
             type: "answered",
             atMs,
             latencyMs: atMs - sentAtMs,
-            failed: reading.failed,
+            failed: response.failed,
             reportedInFlight,
-            ...figures,
+            ...loadFields,
         });
     }
 };
 
-const takeShed = (load: LoadReport | undefined, heard: ReceivedResponse): void => {
-    const { clock, upstream } = heard;
+const applyShed = (load: LoadReport | undefined, received: ReceivedResponse): void => {
+    const { clock, upstream } = received;
     const atMs = clock.nowMs();
-    observe(heard, { type: "shed", atMs });
+    observe(received, { type: "shed", atMs });
     if (load !== undefined && load.inFlight < (load.slots ?? upstream.slots)) {
-        // It has room by its own word, and sheds for another reason: taken for full, its whole service would be held back from.
-        observe(heard, { type: "reported", atMs, ...load });
+        // It reports headroom, so it sheds for another reason and must not count as full.
+        observe(received, { type: "reported", atMs, ...load });
         return;
     }
-    // One that tells of no room, or of nothing, is full: it must not look idle.
-    const inFlight = Math.max(load?.inFlight ?? 0, upstream.slots * shedLoadFactor);
-    observe(heard, { type: "reported", atMs, ...load, inFlight });
+    // Without reported headroom it counts as full.
+    const inFlight = Math.max(load?.inFlight ?? 0, upstream.slots * shedLoadPerSlot);
+    observe(received, { type: "reported", atMs, ...load, inFlight });
 };
--- a/packages/daemon/src/request/attempt-task.ts
+++ b/packages/daemon/src/request/attempt-task.ts
@@ -17,7 +17,7 @@
 import type { AttemptRecord } from "./decision-record.js";
 import type { ParsedResponse } from "./header-protocol.js";
 import { requestHeaders } from "./headers.js";
-import { learnFromOvertaken, learnFromWork, type Work } from "./record-service-time.js";
+import { recordHedgeLoser, recordServiceTime, type ServiceTimeSample } from "./record-service-time.js";
 import type { RequestBody } from "./request-body.js";
 import type { RequestProgress } from "./request-progress.js";
 import type { RequestServices } from "./request-services.js";
@@ -26,58 +26,58 @@
 export interface AttemptOptions {
     readonly services: RequestServices;
     readonly runtime: ServiceRuntime;
-    /** The request, to whose record the attempt is added. */
+    /** The request; the attempt is added to its record. */
     readonly progress: RequestProgress;
     readonly body: RequestBody;
     readonly upstream: UpstreamEntry;
-    /** What the choice knew of it. */
-    readonly chosenBy: UpstreamFacts | undefined;
-    /** Asked before an answer is passed on as it arrives: whether it is this attempt's turn to answer the caller. */
+    /** Facts about the upstream when it was selected. */
+    readonly selectionFacts: UpstreamFacts | undefined;
+    /** Decides whether this attempt may stream its response to the caller. */
     readonly mayStream: (reading: ParsedResponse) => boolean;
 }
 
-/** What became of an attempt. */
+/** Result of an attempt. */
 export interface AttemptReport {
     readonly task: AttemptTask;
     readonly result: AttemptResult;
     readonly outcome: Outcome;
-    /** What the head of the answer said; `undefined` without one. */
-    readonly reading: ParsedResponse | undefined;
-    /** Whether the whole answer arrived. */
-    readonly isWhole: boolean;
-    /** The whole answer, where it was kept back. */
-    readonly answer: BufferedResponse | undefined;
-    /** Whether the head of the answer was passed on to the caller. */
-    readonly passedOn: boolean;
+    /** The response head; `undefined` if none was received. */
+    readonly response: ParsedResponse | undefined;
+    /** Whether the complete response was received. */
+    readonly isComplete: boolean;
+    /** The complete response, if it was buffered. */
+    readonly buffered: BufferedResponse | undefined;
+    /** Whether the response head was sent to the caller. */
+    readonly isForwarded: boolean;
 }
 
-/** Time that is kept back at each hop, so that an answer of the next one still arrives in time. */
+/** Time subtracted from the deadline at each hop, so that the next hop's response arrives before it. */
 const hopMarginMs = 2;
 
-/** Most bytes of an answer that is not passed on, read so that its connection can be used again. */
+/** Most bytes that are read of a discarded response in order to reuse its connection. */
 const maximumDiscardedBytes = 65_536;
 
-/** Ends of attempts that say nothing against the upstream. */
-const blameless: ReadonlySet<AttemptEnd> = new Set<AttemptEnd>(["answered", "cancelled", "withdrawn"]);
+/** Ends of attempts that do not count as a failure of the upstream. */
+const blamelessEnds: ReadonlySet<AttemptEnd> = new Set<AttemptEnd>(["answered", "cancelled", "withdrawn"]);
 
 /** Runs one attempt to its end. */
 export class AttemptTask implements ResponseSink {
-    /** Fulfilled, never rejected, when the attempt has ended. */
+    /** Resolves when the attempt has ended; never rejects. */
     readonly ended: Promise<AttemptReport>;
     readonly startedAtMs: number;
-    private readonly flight: InFlightRequest;
+    private readonly inFlightRequest: InFlightRequest;
     private readonly record: AttemptRecord;
     private readonly attempt: Attempt;
-    private reading: ParsedResponse | undefined;
+    private response: ParsedResponse | undefined;
     private buffer: ResponseBuffer | undefined;
-    private passedOn = false;
+    private isForwarded = false;
     private discardedBytes = 0;
 
-    /** @param options - The request and what is known of it. */
+    /** @param options - The request and the selected upstream. */
     constructor(private readonly options: AttemptOptions) {
         const { runtime, services, progress, upstream } = options;
         this.startedAtMs = services.clock.nowMs();
-        this.flight = runtime.tracker.startRequest(upstream.id);
+        this.inFlightRequest = runtime.tracker.startRequest(upstream.id);
         this.record = {
             upstream: upstream.id,
             spanId: newSpanId(),
@@ -87,16 +87,16 @@
             outcome: undefined,
         };
         progress.record.attempts.push(this.record);
-        this.attempt = services.transport.send(upstream, this.upstreamRequest(), this);
+        this.attempt = services.transport.send(upstream, this.buildUpstreamRequest(), this);
         this.ended = this.attempt.result.then(result => this.finish(result));
     }
 
-    /** The upstream that is tried. */
+    /** The upstream of this attempt. */
     get upstream(): UpstreamEntry {
         return this.options.upstream;
     }
 
-    /** Gives up; the upstream is told by the end of the connection. */
+    /** Cancels the attempt by closing its connection. */
     cancel(end: "timed-out" | "cancelled"): void {
         this.attempt.cancel(end);
     }
@@ -105,33 +105,32 @@
         const { services, runtime, progress, upstream } = this.options;
         const { service } = progress.route;
         const requestHeaders = progress.request.headers;
-        const reading = services.dialect.readResponseHead({ status, headers, service, upstream: upstream.id, requestHeaders });
-        this.reading = reading;
-        services.onNotice({ service: service.name, upstream, notice: reading.notice, request: progress.record.id });
-        const { clock } = services;
-        applyResponse({
-            clock,
-            tracker: runtime.tracker,
-            upstream,
-            response: reading,
-            sentAtMs: this.startedAtMs,
-            isProbe: false,
+        const response = services.headerProtocol.readResponseHead({
+            status,
+            headers,
+            service,
+            upstream: upstream.id,
+            requestHeaders,
         });
-        if (reading.mismatch !== undefined) {
+        this.response = response;
+        services.onNotice({ service: service.name, upstream, notice: response.notice, request: progress.record.id });
+        const { clock } = services;
+        applyResponse({ clock, tracker: runtime.tracker, upstream, response, sentAtMs: this.startedAtMs, isProbe: false });
+        if (response.mismatch !== undefined) {
             return false;
         }
-        const keptBytes = services.answerBufferBytes;
-        if (keptBytes > 0 || !this.options.mayStream(reading)) {
-            this.buffer = new ResponseBuffer(status, headers, keptBytes);
+        const maximumBufferedBytes = services.responseBufferBytes;
+        if (maximumBufferedBytes > 0 || !this.options.mayStream(response)) {
+            this.buffer = new ResponseBuffer(status, headers, maximumBufferedBytes);
             return true;
         }
-        this.passOn(status, headers, reading);
+        this.forwardHead(status, headers, response);
         return true;
     }
 
     onData(chunk: Buffer): boolean {
-        if (this.passedOn) {
-            return this.options.progress.answer.write(chunk, () => this.attempt.resume());
+        if (this.isForwarded) {
+            return this.options.progress.response.write(chunk, () => this.attempt.resume());
         }
         if (this.buffer?.add(chunk) === false) {
             this.streamOrDiscard(this.buffer, chunk);
@@ -139,11 +138,11 @@
         return true;
     }
 
-    /** The answer is too large to be kept: it is passed on from here, if it is its turn, or thrown away. */
+    /** Handles a response that exceeds the buffer: streams it to the caller if allowed, else discards it. */
     private streamOrDiscard(buffer: ResponseBuffer, chunk: Buffer): void {
-        if (this.reading !== undefined && this.options.mayStream(this.reading)) {
-            this.passOn(buffer.status, buffer.headers, this.reading);
-            buffer.parts.forEach(part => this.options.progress.answer.write(part, () => undefined));
+        if (this.response !== undefined && this.options.mayStream(this.response)) {
+            this.forwardHead(buffer.status, buffer.headers, this.response);
+            buffer.parts.forEach(part => this.options.progress.response.write(part, () => undefined));
             return;
         }
         this.discardedBytes += chunk.length;
@@ -152,96 +151,96 @@
         }
     }
 
-    private passOn(status: number, headers: IncomingHttpHeaders, reading: ParsedResponse): void {
+    private forwardHead(status: number, headers: IncomingHttpHeaders, response: ParsedResponse): void {
         const { progress } = this.options;
-        this.passedOn = true;
+        this.isForwarded = true;
         this.buffer = undefined;
-        progress.answer.begin(status, headers, progress.ownHeaders(reading.outcome));
+        progress.response.writeHead(status, headers, progress.decisionHeaders(response.outcome));
     }
 
     private async finish(result: AttemptResult): Promise<AttemptReport> {
         const { runtime, services, progress, body, upstream } = this.options;
-        const { reading } = this;
-        runtime.tracker.finishRequest(this.flight);
+        const { response } = this;
+        runtime.tracker.finishRequest(this.inFlightRequest);
         runtime.queue.wake();
         const atMs = services.clock.nowMs();
-        const isForeign = reading?.mismatch !== undefined;
-        if (isForeign || !blameless.has(result.end)) {
+        const isMismatch = response?.mismatch !== undefined;
+        if (isMismatch || !blamelessEnds.has(result.end)) {
             runtime.tracker.observe(upstream.id, { type: "failed", atMs }, upstream.startedAtMs);
         }
         const outcome = this.outcomeOf(result);
         this.record.endedMs = atMs - progress.arrivedAtMs;
-        this.record.result = isForeign
-            ? { ...result, end: "garbled", detail: reading.mismatch }
-            : { ...result, end: reading?.shed === true ? "shed" : result.end };
+        this.record.result = isMismatch
+            ? { ...result, end: "garbled", detail: response.mismatch }
+            : { ...result, end: response?.shed === true ? "shed" : result.end };
         this.record.outcome = outcome;
         if (result.end === "reset") {
-            await this.lookAfterBreak();
+            await this.checkPortAfterReset();
         }
         else if (result.refused === true) {
             services.crashes.recordPortClosed(upstream.id);
         }
-        else if (result.end !== "answered" && result.sent && reading === undefined) {
-            services.crashes.recordAbandoned(this.seen());
+        else if (result.end !== "answered" && result.sent && response === undefined) {
+            services.crashes.recordAbandoned(this.observedCrash());
         }
         services.onAttempt(progress.record, this.record);
-        const isWhole = result.end === "answered" && !isForeign;
+        const isComplete = result.end === "answered" && !isMismatch;
         if (result.end === "cancelled") {
-            learnFromOvertaken(this.work(atMs));
+            recordHedgeLoser(this.serviceTimeSample(atMs));
         }
-        if (isWhole && outcome === "ran") {
-            learnFromWork(this.work(atMs));
+        if (isComplete && outcome === "ran") {
+            recordServiceTime(this.serviceTimeSample(atMs));
         }
-        if (isWhole && outcome === "ran" && reading?.failed !== true) {
-            // A failure may be a deadline that passed in the upstream's queue: that one has not shown that it survives the request.
+        if (isComplete && outcome === "ran" && response?.failed !== true) {
+            // A failed response is no evidence that the upstream survives the request: it may not have been processed.
             services.crashes.recordSuccess(progress.key(body));
         }
-        const answer = isWhole && this.discardedBytes === 0 ? this.buffer?.whole() : undefined;
-        return { task: this, result: this.record.result, outcome, reading, isWhole, answer, passedOn: this.passedOn };
+        const buffered = isComplete && this.discardedBytes === 0 ? this.buffer?.toBufferedResponse() : undefined;
+        return { task: this, result: this.record.result, outcome, response, isComplete, buffered, isForwarded: this.isForwarded };
     }
 
-    /** Finds out whether the upstream has ended, or has closed this connection alone. */
-    private async lookAfterBreak(): Promise<void> {
+    /** Checks after a reset whether the upstream has crashed or only closed this connection. */
+    private async checkPortAfterReset(): Promise<void> {
         const { services, upstream } = this.options;
-        const seen = this.seen();
+        const crash = this.observedCrash();
         const port = await services.transport.checkPort(upstream);
-        this.record.connectionLoss = { key: seen.key, port };
+        this.record.connectionLoss = { key: crash.key, port };
         if (port === "closed") {
-            services.crashes.recordCrash(seen);
+            services.crashes.recordCrash(crash);
         }
     }
 
-    /** This run, for what is remembered of upstreams that end. */
-    private seen(): ObservedCrash {
+    /** This attempt as a crash record. */
+    private observedCrash(): ObservedCrash {
         const { services, progress, body, upstream } = this.options;
         const { id: request, attempts } = progress.record;
         const ranMs = services.clock.nowMs() - this.startedAtMs;
         return { request, attempt: attempts.indexOf(this.record) + 1, key: progress.key(body), upstream: upstream.id, ranMs };
     }
 
-    private work(atMs: number): Work {
-        const { chosenBy, progress, runtime } = this.options;
-        return { runtime, kind: progress.route.kind.name, chosenBy, atMs, latencyMs: atMs - this.startedAtMs };
+    private serviceTimeSample(atMs: number): ServiceTimeSample {
+        const { selectionFacts, progress, runtime } = this.options;
+        return { runtime, kind: progress.route.kind.name, selectionFacts, atMs, latencyMs: atMs - this.startedAtMs };
     }
 
     private outcomeOf(result: AttemptResult): Outcome {
-        if (this.reading === undefined) {
+        if (this.response === undefined) {
             return outcomeOf(result);
         }
-        return this.reading.mismatch === undefined ? this.reading.outcome : "unknown";
+        return this.response.mismatch === undefined ? this.response.outcome : "unknown";
     }
 
-    private upstreamRequest() {
+    private buildUpstreamRequest() {
         const { body, progress, runtime, services, upstream } = this.options;
-        const { request, arrival, trace } = progress;
+        const { request, metadata, trace } = progress;
         const { configuration } = progress.record;
         const remainingMs = Math.max(1, Math.floor(progress.remainingMs - hopMarginMs));
-        const own = services.dialect.attemptHeaders({ configuration, upstream, remainingMs, depth: arrival.depth + 1 });
+        const added = services.headerProtocol.attemptHeaders({ configuration, upstream, remainingMs, depth: metadata.depth + 1 });
         const headers = requestHeaders(request.rawHeaders, request.headers.connection, {
-            ...own,
+            ...added,
             traceparent: toTraceparent(trace, this.record.spanId),
         });
-        const mayBegin = (): boolean => runtime.tracker.maySend(upstream, this.flight);
+        const mayBegin = (): boolean => runtime.tracker.maySend(upstream, this.inFlightRequest);
         return { method: request.method ?? "GET", path: request.url ?? "/", headers, body: body.open(), mayBegin };
     }
 }
--- a/packages/daemon/src/request/buffered-response.ts
+++ b/packages/daemon/src/request/buffered-response.ts
@@ -1,29 +1,29 @@
 /**
- * An upstream's answer that is kept back until it is whole.
+ * Buffers an upstream's response until it is complete.
  *
  * @packageDocumentation
  */
 
 import type { IncomingHttpHeaders } from "node:http";
 
-/** A whole answer. */
+/** A complete response. */
 export interface BufferedResponse {
     readonly status: number;
     readonly headers: IncomingHttpHeaders;
     readonly body: Buffer;
-    /** Whether the upstream told where the body ends; otherwise it ended with its connection, which proves nothing. */
+    /** Whether headers delimit the body; otherwise the connection's end does, and the body may be incomplete. */
     readonly isFramed: boolean;
 }
 
-/** Gathers an answer, as long as it stays small. */
+/** Buffers a response up to a maximum size. */
 export class ResponseBuffer {
     private readonly chunks: Buffer[] = [];
     private bytes = 0;
 
     /**
-     * @param status - Status of the answer.
-     * @param headers - Headers of the answer.
-     * @param maximumBytes - Largest body that is gathered.
+     * @param status - Status of the response.
+     * @param headers - Headers of the response.
+     * @param maximumBytes - Maximum size of the body.
      */
     constructor(
         readonly status: number,
@@ -32,9 +32,9 @@
     ) {}
 
     /**
-     * Takes a part of the body.
+     * Adds a chunk of the body.
      *
-     * @returns Whether the body is still small enough; the part is kept either way.
+     * @returns Whether the body is within the maximum size; the chunk is kept in any case.
      */
     add(chunk: Buffer): boolean {
         this.chunks.push(chunk);
@@ -42,13 +42,13 @@
         return this.bytes <= this.maximumBytes;
     }
 
-    /** The parts so far. */
+    /** The chunks so far. */
     get parts(): readonly Buffer[] {
         return this.chunks;
     }
 
-    /** The answer, once it has ended. */
-    whole(): BufferedResponse {
+    /** Returns the complete response; called when it has ended. */
+    toBufferedResponse(): BufferedResponse {
         const { status, headers } = this;
         const isFramed = headers["content-length"] !== undefined || headers["transfer-encoding"] !== undefined;
         return { status, headers, body: Buffer.concat(this.chunks, this.bytes), isFramed };
--- a/packages/daemon/src/request/caller-response.ts
+++ b/packages/daemon/src/request/caller-response.ts
@@ -1,5 +1,5 @@
 /**
- * The one answer that a caller gets.
+ * The response to a caller.
  *
  * @packageDocumentation
  */
@@ -11,17 +11,14 @@
 import { type Problem, problemBody, problemHeaders, problemKinds } from "./problem.js";
 import { hasBody } from "./request-body.js";
 
-/** Statuses whose answers have no body, whatever their headers say. */
+/** Statuses of responses without a body. */
 const noContentStatus = 204;
 const notModifiedStatus = 304;
 
-/**
- * Writes either one upstream's whole answer or one problem. An answer that
- * breaks off is cut off towards the caller too, never ended as if it were whole.
- */
+/** Sends an upstream's response or a problem; an incomplete response is aborted so that the caller can detect it. */
 export class CallerResponse {
-    private readonly leaveListeners = new Set<() => void>();
-    private left = false;
+    private readonly disconnectListeners = new Set<() => void>();
+    private disconnected = false;
     private finished = false;
 
     /**
@@ -31,94 +28,93 @@
     constructor(private readonly request: IncomingMessage, private readonly response: ServerResponse) {
         response.once("close", () => {
             if (!this.finished || !response.writableFinished) {
-                this.left = true;
-                this.leaveListeners.forEach(listener => listener());
+                this.disconnected = true;
+                this.disconnectListeners.forEach(listener => listener());
             }
         });
     }
 
-    /** Whether the caller left before its answer was whole. */
-    get callerLeft(): boolean {
-        return this.left;
+    /** Whether the caller disconnected before its response was complete. */
+    get callerDisconnected(): boolean {
+        return this.disconnected;
     }
 
     /**
-     * Asks to be told when the caller leaves before its answer is whole.
+     * Adds a listener for a disconnect of the caller before its response is complete.
      *
-     * @returns Takes the listener back.
+     * @returns Removes the listener.
      */
-    onCallerLeft(listener: () => void): () => void {
-        this.leaveListeners.add(listener);
-        return () => this.leaveListeners.delete(listener);
+    onCallerDisconnect(listener: () => void): () => void {
+        this.disconnectListeners.add(listener);
+        return () => this.disconnectListeners.delete(listener);
     }
 
     /**
-     * Waits until everything that came before on the connection is answered.
+     * Waits until all earlier requests on the connection have their responses.
      *
-     * @returns Whether it was; otherwise the connection ended first, and its caller takes the request for unread.
+     * @returns Whether they have; otherwise the connection was closed first, and the caller may assume that the request was not read.
      */
     awaitPipelineOrder(): Promise<boolean> {
-        if (this.left || this.response.socket !== null) {
-            return Promise.resolve(!this.left);
+        if (this.disconnected || this.response.socket !== null) {
+            return Promise.resolve(!this.disconnected);
         }
         return new Promise(resolve => {
-            const forget = this.onCallerLeft(() => resolve(false));
-            // Node gives a response its socket when those before it on the connection have ended.
+            const removeListener = this.onCallerDisconnect(() => resolve(false));
+            // Node assigns the socket to a response once the earlier responses on the connection have ended.
             this.response.once("socket", () => {
-                forget();
+                removeListener();
                 resolve(true);
             });
         });
     }
 
-    /** Whether the head of an answer was sent. */
+    /** Whether the head of a response was sent. */
     get headersSent(): boolean {
         return this.response.headersSent;
     }
 
-    /** Passes on the head of an upstream's answer, with headers of our own. */
-    begin(status: number, headers: IncomingHttpHeaders, own: OutgoingHttpHeaders): void {
-        if (this.left) {
+    /** Sends the head of an upstream's response with additional headers. */
+    writeHead(status: number, headers: IncomingHttpHeaders, extraHeaders: OutgoingHttpHeaders): void {
+        if (this.disconnected) {
             return;
         }
-        const passedOn = responseHeaders(headers, own);
+        const forwardedHeaders = responseHeaders(headers, extraHeaders);
         if (this.mustClose) {
-            passedOn["connection"] = "close";
+            forwardedHeaders["connection"] = "close";
         }
-        this.response.writeHead(status, passedOn);
+        this.response.writeHead(status, forwardedHeaders);
     }
 
     /**
-     * Passes on a part of the body.
+     * Sends a chunk of the body.
      *
-     * @param chunk - The part.
-     * @param onRoom - Called when there is room again, if there was none.
+     * @param chunk - The chunk.
+     * @param onDrain - Called when the buffer has drained, if it was full.
      * @returns Whether more can be written at once.
      */
-    write(chunk: Buffer, onRoom: () => void): boolean {
-        if (this.left || this.response.write(chunk)) {
+    write(chunk: Buffer, onDrain: () => void): boolean {
+        if (this.disconnected || this.response.write(chunk)) {
             return true;
         }
-        this.response.once("drain", onRoom);
+        this.response.once("drain", onDrain);
         return false;
     }
 
-    /** Ends the answer, because it is whole. */
+    /** Ends a complete response. */
     end(): void {
         this.finished = true;
         this.response.end();
     }
 
     /**
-     * Gives a whole answer of an upstream, with headers of our own. One whose end
-     * was told by nothing but the end of its connection is passed on like that,
-     * since a length of our own would claim that it is whole.
+     * Sends an upstream's buffered response with additional headers. A response that was delimited by the end of its
+     * connection gets no content length, since it may be incomplete.
      */
-    whole({ status, headers, body, isFramed }: BufferedResponse, own: OutgoingHttpHeaders): void {
-        if (this.headersSent || this.left) {
+    sendBuffered({ status, headers, body, isFramed }: BufferedResponse, extraHeaders: OutgoingHttpHeaders): void {
+        if (this.headersSent || this.disconnected) {
             return;
         }
-        const passedOn = responseHeaders(headers, own);
+        const passedOn = responseHeaders(headers, extraHeaders);
         if (this.mustClose) {
             passedOn["connection"] = "close";
         }
@@ -135,7 +131,7 @@
         this.response.end(body);
     }
 
-    /** Cuts the answer off, because it cannot become whole. What was passed on still arrives, but never its end. */
+    /** Aborts an incomplete response: data that was already written is still sent, but not the end of the response. */
     abort(): void {
         const { socket } = this.response;
         if (socket !== null && this.response.headersSent && !this.isUnframed) {
@@ -147,31 +143,31 @@
         }
     }
 
-    /** Whether only the end of the connection would tell where the answer ends. */
+    /** Whether the response is delimited only by the end of the connection. */
     private get isUnframed(): boolean {
         return !this.response.hasHeader("content-length") && !this.response.chunkedEncoding;
     }
 
     /**
-     * Answers with a problem, unless an answer has begun or the caller has left.
+     * Sends a problem, unless a response head was sent or the caller has disconnected.
      *
      * @returns The status that was sent, if any.
      */
-    sendProblem(problem: Problem, id: RequestId | undefined, own: OutgoingHttpHeaders = {}): number | undefined {
-        if (this.headersSent || this.left) {
+    sendProblem(problem: Problem, id: RequestId | undefined, extraHeaders: OutgoingHttpHeaders = {}): number | undefined {
+        if (this.headersSent || this.disconnected) {
             return undefined;
         }
         const { status } = problemKinds[problem.kind];
         const body = Buffer.from(JSON.stringify(problemBody(problem, id)));
         const closing = this.mustClose ? { connection: "close" } : {};
-        const headers = { ...problemHeaders(problem, body.length), ...own, ...closing };
+        const headers = { ...problemHeaders(problem, body.length), ...extraHeaders, ...closing };
         this.finished = true;
         this.response.writeHead(status, headers);
         this.response.end(body);
         return status;
     }
 
-    /** A connection whose request was not read to its end cannot carry another one. */
+    /** Whether the connection must be closed because the request body was not read completely. */
     private get mustClose(): boolean {
         return hasBody(this.request) && !this.request.complete;
     }
--- a/packages/daemon/src/request/callers-server.ts
+++ b/packages/daemon/src/request/callers-server.ts
@@ -1,5 +1,5 @@
 /**
- * The callers' side: accepting connections and requests.
+ * Accepts connections and requests of callers.
  *
  * @packageDocumentation
  */
@@ -23,23 +23,24 @@
     readonly handler: RequestHandler;
 }
 
-const connectionCheckMs = 1000;
+/** Interval at which the server checks connections for timeouts. */
+const connectionCheckIntervalMs = 1000;
 
-/** The HTTP/1.1 server for callers. */
+/** HTTP/1.1 server for callers. */
 export class CallersServer {
     private readonly server: Server;
     private readonly tasks = new Set<Promise<void>>();
     private stopping = false;
-    private served = false;
+    private hasServedAny = false;
     private maximumBodyBytes: number;
 
     /** @param options - Addresses, limits and the handler. */
     constructor(private readonly options: CallersServerOptions) {
-        this.server = createPlainOrTls(options.settings);
+        this.server = createHttpServer(options.settings);
         this.maximumBodyBytes = options.settings.maximumBodyBytes;
         this.server.maxConnections = options.settings.maximumConnections;
-        this.server.on("request", (request, response) => this.accept(request, response));
-        this.server.on("checkContinue", (request, response) => this.acceptAfterContinue(request, response));
+        this.server.on("request", (request, response) => this.handleRequest(request, response));
+        this.server.on("checkContinue", (request, response) => this.handleContinue(request, response));
         this.server.on("checkExpectation", (request, response) => {
             const detail = `cannot meet ${request.headers.expect}`;
             new CallerResponse(request, response).sendProblem(
@@ -49,31 +50,31 @@
         });
         this.server.on("connect", (_, socket: Duplex) => writeRawProblem(socket, upgradeProblem));
         this.server.on("clientError", (error: NodeJS.ErrnoException, socket: Duplex) => {
-            writeRawProblem(socket, toProblem(error));
+            writeRawProblem(socket, parserProblem(error));
         });
     }
 
-    /** Number of requests that are being served. */
+    /** Number of requests in flight. */
     get inFlight(): number {
         return this.tasks.size;
     }
 
-    /** Whether any caller has come since the start. */
+    /** Whether any request was accepted since the start. */
     get hasServed(): boolean {
-        return this.served;
+        return this.hasServedAny;
     }
 
-    /** Begins to listen; gives the port. */
+    /** Starts to listen; returns the port. */
     listen(): Promise<number> {
         return listenOn(this.server, this.options.settings);
     }
 
-    /** Announces to callers that their connections will be closed. */
+    /** Announces the end of connections to callers, by `Connection: close` on all further responses. */
     announceStop(): void {
         this.stopping = true;
     }
 
-    /** Takes over the limits that a configuration sets; 0 leaves a limit to the settings. */
+    /** Applies the limits of a configuration; for a limit of 0 the settings apply. */
     configure({ maximumBodyBytes, keepAliveTimeoutMs, headersTimeoutMs }: Configuration["callers"]): void {
         const { settings } = this.options;
         this.maximumBodyBytes = maximumBodyBytes === 0 ? settings.maximumBodyBytes : maximumBodyBytes;
@@ -82,10 +83,10 @@
     }
 
     /**
-     * Takes no more connections and waits for the requests in flight.
+     * Accepts no more connections and waits for the requests in flight.
      *
      * @param expired - Ends the wait.
-     * @returns The number of requests that were cut off.
+     * @returns The number of requests that were aborted.
      */
     async close(expired: Promise<void>): Promise<number> {
         this.stopping = true;
@@ -94,25 +95,25 @@
         });
         this.server.closeIdleConnections();
         await Promise.race([Promise.all([closed, ...this.tasks]), expired]);
-        const cutOff = this.tasks.size;
+        const abortedRequests = this.tasks.size;
         this.server.closeAllConnections();
-        return cutOff;
+        return abortedRequests;
     }
 
-    private acceptAfterContinue(request: IncomingMessage, response: ServerResponse): void {
+    private handleContinue(request: IncomingMessage, response: ServerResponse): void {
         const length = Number(request.headers["content-length"] ?? 0);
         if (length <= this.maximumBodyBytes) {
             response.writeContinue();
         }
-        this.accept(request, response);
+        this.handleRequest(request, response);
     }
 
-    private accept(request: IncomingMessage, response: ServerResponse): void {
+    private handleRequest(request: IncomingMessage, response: ServerResponse): void {
         if (this.stopping) {
             response.setHeader("connection", "close");
         }
         const answer = new CallerResponse(request, response);
-        const problem = findProblem(request);
+        const problem = findRequestProblem(request);
         if (problem !== undefined) {
             answer.sendProblem(problem, undefined);
             return;
@@ -122,17 +123,17 @@
         }
         const task = this.options.handler(request, answer).finally(() => this.tasks.delete(task));
         this.tasks.add(task);
-        this.served = true;
+        this.hasServedAny = true;
     }
 }
 
-const createPlainOrTls = (settings: Settings["callers"]): Server => {
+const createHttpServer = (settings: Settings["callers"]): Server => {
     const options = {
         maxHeaderSize: settings.maximumHeaderBytes,
         headersTimeout: settings.headersTimeoutMs,
         requestTimeout: settings.bodyTimeoutMs,
         keepAliveTimeout: settings.keepAliveTimeoutMs,
-        connectionsCheckingInterval: connectionCheckMs,
+        connectionsCheckingInterval: connectionCheckIntervalMs,
         requireHostHeader: false,
         insecureHTTPParser: false,
         noDelay: true,
@@ -148,7 +149,7 @@
     outcome: "not-run",
 };
 
-const findProblem = (request: IncomingMessage): Problem | undefined => {
+const findRequestProblem = (request: IncomingMessage): Problem | undefined => {
     if (request.headers.upgrade !== undefined) {
         return upgradeProblem;
     }
@@ -157,7 +158,7 @@
         : undefined;
 };
 
-const toProblem = (error: NodeJS.ErrnoException): Problem => {
+const parserProblem = (error: NodeJS.ErrnoException): Problem => {
     switch (error.code) {
         case "HPE_HEADER_OVERFLOW":
             return { kind: "headers-too-large", detail: "the request head is too large", outcome: "not-run" };
@@ -168,7 +169,7 @@
     }
 };
 
-/** Answers on a connection whose request could not be parsed, and closes it. */
+/** Sends a problem on a connection whose request could not be parsed, and closes it. */
 const writeRawProblem = (socket: Duplex, problem: Problem): void => {
     if (!socket.writable) {
         socket.destroy();
--- a/packages/daemon/src/request/configured-header-protocol.ts
+++ b/packages/daemon/src/request/configured-header-protocol.ts
@@ -1,5 +1,5 @@
 /**
- * The dialect whose header names are written in the configuration.
+ * The header protocol whose header names are set in the configuration.
  *
  * @packageDocumentation
  */
@@ -13,16 +13,16 @@
 import { numberHeader, pathOf, type RequestMetadata, textHeader } from "./request-metadata.js";
 import { readBackoff } from "./response-notice.js";
 
-/** Statuses by which a gateway says that it could not answer; they do not tell whether the request ran. */
+/** Statuses that gateways generate; they leave open whether the request ran. */
 const gatewayStatuses: ReadonlySet<number> = new Set([502, 503, 504]);
 
-/** harrierhitch's own {@link HeaderProtocol}. */
+/** Default {@link HeaderProtocol}, with header names from the configuration. */
 export class ConfiguredHeaderProtocol implements HeaderProtocol {
     readRequestMetadata(request: IncomingMessage, { fleet }: Configuration, kind: RequestKind): RequestMetadata {
-        const asked = numberHeader(request, fleet.timeoutHeader);
+        const callerTimeoutMs = numberHeader(request, fleet.timeoutHeader);
         return {
-            timeoutMs: asked === undefined ? kind.timeoutMs : Math.min(asked, kind.timeoutMs),
-            callerTimeoutMs: asked,
+            timeoutMs: callerTimeoutMs === undefined ? kind.timeoutMs : Math.min(callerTimeoutMs, kind.timeoutMs),
+            callerTimeoutMs,
             workspace: textHeader(request, fleet.workspaceHeader) ?? "",
             depth: numberHeader(request, fleet.depthHeader) ?? 0,
             path: pathOf(request.url ?? "/"),
@@ -40,26 +40,26 @@
 
     readResponseHead({ status, headers, service }: ResponseHead): ParsedResponse {
         const shed = service.shedStatuses.has(status) && headers[service.shedHeader] === "not-run";
-        const told = headers[outcomeHeader];
-        const leaving = headers[service.drainHeader] === "draining";
+        const reportedOutcome = headers[outcomeHeader];
+        const draining = headers[service.drainHeader] === "draining";
         return {
             mismatch: undefined,
-            outcome: shed ? "not-run" : outcomeOfStatus(status, told),
+            outcome: shed ? "not-run" : outcomeOfStatus(status, reportedOutcome),
             shed,
             misdirected: false,
             failed: status >= 500,
             retryable: shed || gatewayStatuses.has(status),
             forwardable: true,
-            notice: { draining: leaving, limit: readLimit(headers[service.limitHeader]), ...readBackoff(status, headers) },
+            notice: { draining, limit: readLimit(headers[service.limitHeader]), ...readBackoff(status, headers) },
             load: readLoad(headers[service.loadHeader]),
             coldMs: undefined,
         };
     }
 }
 
-const outcomeOfStatus = (status: number, told: string | readonly string[] | undefined): Outcome => {
-    if (status >= 500 && (told === "unknown" || told === "not-run")) {
-        return told;
+const outcomeOfStatus = (status: number, reportedOutcome: string | readonly string[] | undefined): Outcome => {
+    if (status >= 500 && (reportedOutcome === "unknown" || reportedOutcome === "not-run")) {
+        return reportedOutcome;
     }
     return gatewayStatuses.has(status) ? "unknown" : "ran";
 };
--- a/packages/daemon/src/request/crash-detector.ts
+++ b/packages/daemon/src/request/crash-detector.ts
@@ -1,5 +1,5 @@
 /**
- * Noticing requests that end the upstreams that run them, and withholding those that do.
+ * Detects requests that crash the upstreams that process them, and quarantines them.
  *
  * @packageDocumentation
  */
@@ -16,13 +16,13 @@
     readonly clock: Clock;
     readonly log: EventLog;
     readonly metrics: Metrics;
-    /** Tells other instances that there is something new. */
+    /** Called when there are new crash records to gossip. */
     readonly onChange: () => void;
-    /** Whether this instance alone is to try what is withheld. */
-    readonly isTrialOwner: (pattern: RequestSignature) => boolean;
+    /** Whether this instance is the one that sends the trial request for a signature. */
+    readonly isTrialOwner: (signature: RequestSignature) => boolean;
 }
 
-/** A run whose upstream has ended, as this instance saw it. */
+/** An attempt whose upstream crashed, as observed by this instance. */
 export interface ObservedCrash {
     readonly request: RequestId;
     /** Number of the attempt, from 1. */
@@ -32,140 +32,134 @@
     readonly ranMs: number;
 }
 
-/** A run that this instance gave up, at an upstream that may be working on it still. */
-interface AbandonedRun extends ObservedCrash {
+/** An attempt that this instance abandoned while the upstream may still be processing it. */
+interface AbandonedAttempt extends ObservedCrash {
     readonly atMs: number;
     readonly atUnixMs: number;
 }
 
-/**
- * Time for which a run that was given up is remembered, in milliseconds: upstreams that have just started are slow, and
- * some work on after their caller has left; one ended two seconds after its request had been given up.
- */
-const abandonedMs = 5000;
+/** Time for which an abandoned attempt is kept, in milliseconds; upstreams may process it after the caller has left. */
+const abandonedRetentionMs = 5000;
 
-/** Most of them: a second of an instance's requests at its busiest. */
+/** Most abandoned attempts that are kept. */
 const maximumAbandoned = 256;
 
-/**
- * What this instance knows of requests under which upstreams end. Without it each instance would send such a request on at
- * every repeat.
- */
+/** Records crashes of upstreams, and decides which requests are quarantined because they are likely to cause more. */
 export class CrashDetector {
-    /** What the fleet remembers; kept up to date by what others tell, too. */
+    /** Crash records of the fleet; those of other instances are merged by gossip. */
     readonly history: CrashHistory;
     private readonly trials: QuarantineTrials;
-    private abandoned: readonly AbandonedRun[] = [];
+    private abandoned: readonly AbandonedAttempt[] = [];
 
-    /** @param options - Clock, log and listener. */
+    /** @param options - Clock, log, metrics and callbacks. */
     constructor(private readonly options: CrashDetectorOptions) {
         const { clock, log } = options;
         this.history = new CrashHistory({
             clock,
-            onQuarantined: (pattern, runs) => this.tellWithheld(pattern, runs),
-            onReleased: pattern => this.release(pattern),
+            onQuarantined: (signature, crashes) => this.reportQuarantine(signature, crashes),
+            onReleased: signature => this.handleRelease(signature),
         });
         this.trials = new QuarantineTrials({
-            mayTry: pattern => this.history.isTrialDue(pattern) && options.isTrialOwner(pattern),
-            onTrial: (request, patterns) => log.write(events.withheldTried, { request, patterns }),
+            isTrialDue: signature => this.history.isTrialDue(signature) && options.isTrialOwner(signature),
+            onTrial: (request, signatures) => log.write(events.withheldTried, { request, patterns: signatures }),
         });
     }
 
     /**
-     * Decides whether a request is not to be sent. One that is withheld is let through where a trial is due, and is remembered as the
-     * one that tries.
+     * Decides whether a request must not be sent. If a trial is due, a quarantined request is let through and becomes the trial.
      *
      * @param request - The request.
-     * @param key - What it asks for; called only where something is remembered.
+     * @param key - Returns the request's key; called only if there are crash records.
      */
     shouldQuarantine(request: RequestId, key: () => RequestKey): boolean {
-        const patterns = this.history.size > 0 ? this.history.matchingQuarantines(key()) : [];
-        return patterns.length > 0 && !this.trials.admits(request, patterns);
+        const signatures = this.history.size > 0 ? this.history.matchingQuarantines(key()) : [];
+        return signatures.length > 0 && !this.trials.admits(request, signatures);
     }
 
-    /** Whether a request is the one that tries what is withheld. */
+    /** Whether a request is a running trial of a quarantined signature. */
     isTrial(request: RequestId): boolean {
         return this.trials.includes(request);
     }
 
     /**
-     * Notes that a request has got its answer.
+     * Records that a request has been completed.
      *
      * @param request - The request.
-     * @param mayHaveRun - Whether an upstream may have run it; otherwise another one may try in its place.
+     * @param mayHaveRun - Whether an upstream may have run it; otherwise another request may become the trial.
      */
     recordCompleted(request: RequestId, mayHaveRun: boolean): void {
-        this.trials.noteSettled(request, mayHaveRun);
+        this.trials.recordCompleted(request, mayHaveRun);
     }
 
     /**
-     * Whether a second attempt may run beside the first: two upstreams would end where one shows as much.
+     * Whether a request may be hedged. Trials and suspects may not, since they could crash two upstreams at once.
      *
      * @param request - The request.
-     * @param key - What it asks for.
+     * @param key - Returns the request's key; called only if there are crash records.
      */
     allowsHedge(request: RequestId, key: () => RequestKey): boolean {
         return !this.trials.includes(request) && !(this.history.size > 0 && this.history.isSuspect(key()));
     }
 
-    /** Notes a run that is given up before anything is known of its end. */
-    recordAbandoned(run: ObservedCrash): void {
+    /** Records an attempt that was abandoned without a response. */
+    recordAbandoned(attempt: ObservedCrash): void {
         const { clock } = this.options;
         const atMs = clock.nowMs();
-        const kept = this.abandoned.filter(other => atMs - other.atMs < abandonedMs).slice(1 - maximumAbandoned);
-        this.abandoned = [...kept, { ...run, atMs, atUnixMs: Math.floor(clock.wallMs()) }];
+        const recent = this.abandoned.filter(other => atMs - other.atMs < abandonedRetentionMs).slice(1 - maximumAbandoned);
+        this.abandoned = [...recent, { ...attempt, atMs, atUnixMs: Math.floor(clock.wallMs()) }];
     }
 
-    /** Notes that nobody listens at an upstream any more: what was given up there lately may be the cause. */
+    /** Records that an upstream's port is closed: attempts abandoned there recently may have crashed it. */
     recordPortClosed(upstream: UpstreamId): void {
         const nowMs = this.options.clock.nowMs();
-        const there = this.abandoned.filter(run => run.upstream === upstream);
-        if (there.length > 0) {
-            this.abandoned = this.abandoned.filter(run => run.upstream !== upstream);
-            there.filter(run => nowMs - run.atMs < abandonedMs).forEach(run =>
-                this.note(run, { endedAtMs: run.atMs, endedAtUnixMs: run.atUnixMs })
+        const candidates = this.abandoned.filter(attempt => attempt.upstream === upstream);
+        if (candidates.length > 0) {
+            this.abandoned = this.abandoned.filter(attempt => attempt.upstream !== upstream);
+            candidates.filter(attempt => nowMs - attempt.atMs < abandonedRetentionMs).forEach(attempt =>
+                this.report(attempt, { endedAtMs: attempt.atMs, endedAtUnixMs: attempt.atUnixMs })
             );
         }
     }
 
-    /** Notes a run whose upstream has ended. */
-    recordCrash(run: ObservedCrash): void {
+    /** Records an attempt whose upstream crashed. */
+    recordCrash(crash: ObservedCrash): void {
         const { clock } = this.options;
-        this.note(run, { endedAtMs: clock.nowMs(), endedAtUnixMs: Math.floor(clock.wallMs()) });
-        this.recordPortClosed(run.upstream);
+        this.report(crash, { endedAtMs: clock.nowMs(), endedAtUnixMs: Math.floor(clock.wallMs()) });
+        this.recordPortClosed(crash.upstream);
     }
 
-    private note(
+    /** Logs a crash and adds its record to the history. */
+    private report(
         { request, attempt, key, upstream, ranMs }: ObservedCrash,
-        ended: Pick<CrashRecord, "endedAtMs" | "endedAtUnixMs">,
+        endTimes: Pick<CrashRecord, "endedAtMs" | "endedAtUnixMs">,
     ): void {
-        const { log, onChange: onNews } = this.options;
+        const { log, onChange } = this.options;
         const id = `${request}.${attempt}`;
         log.write(events.endedUnder, { request, key, upstream, ranMs: Math.round(ranMs) });
-        if (this.history.merge([{ id, key, upstream, ...ended, ranMs, hasSucceeded: false, succeededMasks: 0 }])) {
-            onNews();
+        if (this.history.merge([{ id, key, upstream, ...endTimes, ranMs, hasSucceeded: false, succeededMasks: 0 }])) {
+            onChange();
         }
     }
 
-    /** Notes that an upstream has answered a request whole. */
+    /** Records that an upstream responded to a request completely. */
     recordSuccess(key: RequestKey): void {
         if (this.history.recordSuccess(key)) {
             this.options.onChange();
         }
     }
 
-    private release(pattern: RequestSignature): void {
-        this.trials.forget(pattern);
-        this.options.log.write(events.withheldReleased, { pattern });
+    private handleRelease(signature: RequestSignature): void {
+        this.trials.remove(signature);
+        this.options.log.write(events.withheldReleased, { pattern: signature });
     }
 
-    private tellWithheld(pattern: RequestSignature, runs: readonly CrashRecord[]): void {
+    private reportQuarantine(signature: RequestSignature, crashes: readonly CrashRecord[]): void {
         const { clock, log, metrics } = this.options;
         const nowMs = clock.nowMs();
         metrics.requestsQuarantined.inc();
         log.write(events.requestWithheld, {
-            pattern,
-            runs: runs.map(({ id, key, upstream, endedAtMs, ranMs }) => ({
+            pattern: signature,
+            runs: crashes.map(({ id, key, upstream, endedAtMs, ranMs }) => ({
                 id,
                 key,
                 upstream,
--- a/packages/daemon/src/request/create-request-services.ts
+++ b/packages/daemon/src/request/create-request-services.ts
@@ -1,5 +1,5 @@
 /**
- * Making what an instance provides to its requests.
+ * Creates the services that the requests of an instance share.
  *
  * @packageDocumentation
  */
@@ -16,7 +16,7 @@
 import type { RequestServices } from "./request-services.js";
 import type { ReceivedNotice } from "./response-notice.js";
 
-/** What they are made of. */
+/** Options of {@link createRequestServices}. */
 export interface CreateRequestServicesOptions {
     readonly parts: InstanceParts;
     readonly instance: InstanceId;
@@ -27,22 +27,22 @@
     readonly telemetry: Telemetry;
 }
 
-/** Makes the parts that the requests of an instance share. */
+/** Creates the shared services for requests. */
 export const createRequestServices = (options: CreateRequestServicesOptions): RequestServices => {
     const { parts, instance, incarnation, explanations, crashes, probeBudget, telemetry } = options;
-    const { settings, clock, random, transport, headerProtocol: dialect, log, metrics, onTraced } = parts;
+    const { settings, clock, random, transport, headerProtocol, log, metrics, onTraced } = parts;
     const { limits, callers, traces } = settings;
-    const limitedLines = new RateLimitLog({ clock, log, metrics });
+    const rateLimitLog = new RateLimitLog({ clock, log, metrics });
     const onNotice = (notice: ReceivedNotice): void => telemetry.noticeReceived(notice);
     return {
         clock,
         random,
-        dialect,
+        headerProtocol,
         transport,
         prober: new Prober({
             clock,
             transport,
-            headerProtocol: dialect,
+            headerProtocol,
             budget: probeBudget,
             onProbe: (service, result) => metrics.probes.inc({ service: service.name, result }),
             onNotice,
@@ -51,11 +51,11 @@
         crashes,
         requestIds: new RequestIds(instance, incarnation),
         bodyLimits: { maximumBytes: callers.maximumBodyBytes, replayBytes: limits.replayBodyBytes },
-        answerBufferBytes: limits.answerBufferBytes,
+        responseBufferBytes: limits.answerBufferBytes,
         log,
         sampleTrace: () => traces.otlpUrl !== undefined && random.next() < traces.sampleShare,
         onNotice,
-        onDecision: (service, input, decision) => limitedLines.record(service, input, decision),
+        onDecision: (service, input, decision) => rateLimitLog.record(service, input, decision),
         onAttempt: (record, attempt) => telemetry.attemptEnded(record, attempt),
         onServed: (record, sampled) => {
             telemetry.requestServed(record);
--- a/packages/daemon/src/request/decision-record.ts
+++ b/packages/daemon/src/request/decision-record.ts
@@ -1,5 +1,5 @@
 /**
- * The record of one request: what was decided, tried and answered.
+ * The record of one request: its decisions, attempts and outcome.
  *
  * @packageDocumentation
  */
@@ -10,42 +10,42 @@
 import type { PortState } from "../upstream/check-port.js";
 import type { ProblemKind } from "./problem.js";
 
-/** One decision with its input. */
+/** A decision with its input. */
 export interface DecisionStep {
     /** Milliseconds since arrival. */
     readonly atMs: number;
-    /** Time that the decision took. */
+    /** Duration of the decision in milliseconds. */
     readonly durationMs: number;
     readonly input: DecisionInput;
     readonly decision: Decision;
-    /** Whether it sends the request to find out how a fuller upstream does; its input then takes those for as good as others. */
+    /** Whether the decision explores an upstream beyond its known utilization. */
     readonly isExploration: boolean;
 }
 
-/** One attempt; its result is set when it has ended. */
+/** An attempt; its result is set when it has ended. */
 export interface AttemptRecord {
     readonly upstream: UpstreamId;
-    /** Span of the attempt in the trace. */
+    /** Span ID of the attempt. */
     readonly spanId: string;
     /** Milliseconds since arrival. */
     readonly startedMs: number;
     endedMs: number | undefined;
     result: AttemptResult | undefined;
     outcome: Outcome | undefined;
-    /** What was asked, and whether anyone still listened at the upstream, where the connection broke. */
+    /** Key of the request and state of the upstream's port after the connection was lost. */
     connectionLoss?: { readonly key: RequestKey; readonly port: PortState; };
 }
 
-/** What is kept of one request, filled in while it is served. */
+/** The record of a request, filled in while it is served. */
 export interface DecisionRecord {
     readonly id: RequestId;
     readonly arrivedAtUnixMs: number;
     readonly configuration: Configuration;
     readonly route: Route;
     readonly traceId: string;
-    /** Span of this hop in the trace. */
+    /** Span ID of this hop. */
     readonly spanId: string;
-    /** Span of the caller in the trace; empty without one. */
+    /** Span ID of the caller; empty without one. */
     readonly parentSpanId: string;
     readonly steps: DecisionStep[];
     readonly attempts: AttemptRecord[];
--- a/packages/daemon/src/request/header-protocol.ts
+++ b/packages/daemon/src/request/header-protocol.ts
@@ -1,5 +1,5 @@
 /**
- * How callers and upstreams say things in headers, behind an interface.
+ * Interface of the headers that are exchanged with callers and upstreams.
  *
  * @packageDocumentation
  */
@@ -10,67 +10,67 @@
 import type { RequestMetadata } from "./request-metadata.js";
 import type { ResponseNotice } from "./response-notice.js";
 
-/** An attempt, as far as its request tells of it. */
+/** An attempt for which request headers are written. */
 export interface OutgoingAttempt {
     readonly configuration: Configuration;
     readonly upstream: Upstream;
-    /** Whole milliseconds for which the upstream may work. */
+    /** Time for the upstream to respond, in whole milliseconds. */
     readonly remainingMs: number;
-    /** Number of hops so far, the next one included. */
+    /** Number of hops including the next one. */
     readonly depth: number;
 }
 
-/** The head of an upstream's answer, with what it answers. */
+/** The head of an upstream's response, with its request. */
 export interface ResponseHead {
     readonly status: number;
     readonly headers: IncomingHttpHeaders;
     readonly service: Service;
-    /** Whom the request was sent to. */
+    /** The upstream to which the request was sent. */
     readonly upstream: UpstreamId;
     /** Headers of the caller's request; `undefined` for a probe. */
     readonly requestHeaders: IncomingHttpHeaders | undefined;
 }
 
-/** The load that an upstream reports of itself. */
+/** The load that an upstream reports. */
 export interface LoadReport {
-    /** Requests that run or wait there. */
+    /** Requests that are running or queued at the upstream. */
     readonly inFlight: number;
     readonly slots?: number | undefined;
-    /** Factor by which work takes longer than usual there; 1 is as usual. */
+    /** Service time as a multiple of the normal one. */
     readonly slowness?: number | undefined;
 }
 
-/** What the head of an answer says. */
+/** The parsed head of a response. */
 export interface ParsedResponse {
-    /** Why this is not the upstream's answer to this request; `undefined` when it is. */
+    /** Why this is not the upstream's response to this request; `undefined` if it is. */
     readonly mismatch: string | undefined;
-    /** What the head tells of whether the request ran. */
+    /** Whether the request ran, according to the head. */
     readonly outcome: Outcome;
-    /** Whether the upstream was too busy for the request. */
+    /** Whether the upstream shed the request because of its load. */
     readonly shed: boolean;
-    /** Whether another upstream answers at this address now. */
+    /** Whether another upstream is listening at this address now. */
     readonly misdirected: boolean;
-    /** Whether the answer counts as a failure of the upstream. */
+    /** Whether the response counts as a failure of the upstream. */
     readonly failed: boolean;
-    /** Whether another attempt may do better. */
+    /** Whether another attempt may succeed. */
     readonly retryable: boolean;
-    /** Whether the caller may get this answer as it is. */
+    /** Whether the response may be forwarded to the caller. */
     readonly forwardable: boolean;
-    /** What it wants heeded after this answer. */
+    /** What the upstream announces for later requests. */
     readonly notice: ResponseNotice;
     readonly load: LoadReport | undefined;
-    /** Milliseconds for which the upstream says that it stays slow after a start; `undefined` when it does not say. */
+    /** Milliseconds for which the upstream expects to stay slow after its start; `undefined` if not reported. */
     readonly coldMs: number | undefined;
 }
 
-/** Reads and writes the headers by which callers, this instance and upstreams understand each other. */
+/** Reads and writes the headers that callers, this instance and upstreams exchange. */
 export interface HeaderProtocol {
-    /** Reads what a caller's request says of itself. */
+    /** Reads timeout, workspace, depth and path of a caller's request. */
     readRequestMetadata(request: IncomingMessage, configuration: Configuration, kind: RequestKind): RequestMetadata;
-    /** Headers in lower case that are set on an attempt's request; `undefined` takes one away. */
+    /** Returns the headers, in lower case, that are set on an attempt's request; `undefined` removes one. */
     attemptHeaders(attempt: OutgoingAttempt): Readonly<Record<string, string | undefined>>;
-    /** Writes the value of `Retry-After`. */
+    /** Formats the value of `Retry-After`. */
     formatRetryAfter(delayMs: number): string;
-    /** Reads the head of an answer. */
+    /** Parses the head of a response. */
     readResponseHead(head: ResponseHead): ParsedResponse;
 }
--- a/packages/daemon/src/request/headers.ts
+++ b/packages/daemon/src/request/headers.ts
@@ -1,12 +1,12 @@
 /**
- * Headers that are passed on, and those that belong to one hop.
+ * Forwards headers, without those of a single connection.
  *
  * @packageDocumentation
  */
 
 import type { IncomingHttpHeaders, OutgoingHttpHeaders } from "node:http";
 
-/** Headers of one connection (RFC 9110, 7.6.1), never passed on. */
+/** Hop-by-hop headers (RFC 9110, section 7.6.1), which are not forwarded. */
 const hopByHop: ReadonlySet<string> = new Set([
     "connection",
     "keep-alive",
@@ -24,12 +24,12 @@
     value === undefined || value === "keep-alive" ? [] : value.split(",").map(name => name.trim().toLowerCase());
 
 /**
- * The request's headers as they are sent to an upstream.
+ * Returns the headers of a request to an upstream.
  *
- * @param rawHeaders - Names and values in turn, as they arrived.
+ * @param rawHeaders - Names and values of the received headers, alternating.
  * @param connection - Value of the header `Connection`.
- * @param replaced - Headers in lower case that replace or join those that arrived; `undefined` removes one.
- * @returns Names and values in turn.
+ * @param replaced - Headers, in lower case, that are added or replace received ones; `undefined` removes one.
+ * @returns Names and values, alternating.
  */
 export const requestHeaders = (
     rawHeaders: readonly string[],
@@ -53,10 +53,10 @@
 };
 
 /**
- * The upstream's headers as they are sent to the caller.
+ * Returns the headers of a response to a caller.
  *
- * @param headers - The headers that arrived.
- * @param own - Headers of our own, which replace those of the same name.
+ * @param headers - The headers received from the upstream.
+ * @param own - Headers that are added or replace received ones.
  */
 export const responseHeaders = (headers: IncomingHttpHeaders, own: OutgoingHttpHeaders): OutgoingHttpHeaders => {
     const dropped = namedByConnection(headers.connection);
--- a/packages/daemon/src/request/hedge.ts
+++ b/packages/daemon/src/request/hedge.ts
@@ -1,5 +1,5 @@
 /**
- * When a second attempt runs beside the first.
+ * Decides when a request is hedged by a second attempt.
  *
  * @packageDocumentation
  */
@@ -7,22 +7,20 @@
 import type { RequestBody } from "./request-body.js";
 import type { RequestProgress } from "./request-progress.js";
 
-/** Shortest time between two looks for a second upstream, in milliseconds. */
-const shortestStepMs = 20;
+/** Shortest interval between two checks for a hedge, in milliseconds. */
+const minimumHedgeIntervalMs = 20;
 
 /**
- * Time from one look for a second upstream to the next. It is looked for each time the first has not answered for a share
- * of the target: what spoke against one, a spent budget or no better upstream, may be over. Looked for once, requests
- * stayed with slow upstreams for good.
+ * Returns the interval between checks for a hedge: the policy's share of the target latency.
  *
  * @param progress - The request.
- * @returns Milliseconds; `undefined` where its policy or its kind wants no second attempt.
+ * @returns Milliseconds; `undefined` if the policy or the kind allows no hedge.
  */
-export const secondLookMs = ({ route: { policy, kind } }: RequestProgress): number | undefined =>
+export const hedgeIntervalMs = ({ route: { policy, kind } }: RequestProgress): number | undefined =>
     policy.hedgePercent > 0 && kind.targetLatencyMs > 0 && kind.repeatable
-        ? Math.max(shortestStepMs, kind.targetLatencyMs * policy.hedgePercent / 100)
+        ? Math.max(minimumHedgeIntervalMs, kind.targetLatencyMs * policy.hedgePercent / 100)
         : undefined;
 
-/** Whether the request itself allows one more attempt beside the one that runs. */
-export const allowsSecond = (progress: RequestProgress, body: RequestBody): boolean =>
-    progress.sentAttempts < progress.route.kind.maximumAttempts && body.canReplay && !progress.answer.callerLeft;
+/** Whether the request allows a second attempt while the first one is running. */
+export const allowsHedge = (progress: RequestProgress, body: RequestBody): boolean =>
+    progress.sentAttempts < progress.route.kind.maximumAttempts && body.canReplay && !progress.response.callerDisconnected;
--- a/packages/daemon/src/request/hold-queue.ts
+++ b/packages/daemon/src/request/hold-queue.ts
@@ -1,5 +1,5 @@
 /**
- * The bounded queue of requests that are held back for one service.
+ * The bounded queue of held requests of one service.
  *
  * @packageDocumentation
  */
@@ -7,60 +7,62 @@
 import type { Clock } from "@harrierhitch/core";
 import { AdmissionInterval } from "./admission-interval.js";
 
-/** What became of waiting. */
-export type HoldResult = "decide-again" | "displaced" | "gone";
+/** Why a request left the queue: to be decided again, displaced by a heavier request, or because its caller disconnected. */
+export type HoldResult = "decide-again" | "displaced" | "disconnected";
 
-/** Where a request stands among those that wait. */
+/** What determines a request's position in the queue. */
 export interface QueuePosition {
     /** Workspace of the caller, for fairness. */
     readonly workspace: string;
     /** Weight of the request's kind. */
     readonly weight: number;
-    /** Time until which an answer is worth most. */
+    /** Time at which the response is due: the latency target, or else the deadline. */
     readonly dueAtMs: number;
     readonly arrivedAtMs: number;
 }
 
-/** One request that waits. */
+/** A request in the queue. */
 export interface QueuedRequest extends QueuePosition {
-    /** Time at which it is decided again, whatever has happened. */
+    /** Time at which the request is decided again in any case. */
     readonly untilMs: number;
-    /** Asks to be told when the caller leaves; gives the way to take that back. */
+    /** Adds a listener for the caller's disconnect; returns a function that removes it. */
     readonly onDisconnect: (listener: () => void) => () => void;
 }
 
-interface Entry extends QueuedRequest {
+interface QueueEntry extends QueuedRequest {
     readonly finish: (result: HoldResult) => void;
 }
 
-/** Time after which a request is decided again although nothing finished. */
-const reviewMs = 20;
+/** Interval at which a queued request is decided again although no request finished. */
+const reviewIntervalMs = 20;
 
 /**
- * Holds requests back until something finishes. Workspaces take turns; within a workspace those that can still be answered in
- * time go first, then the heaviest, and among equals whoever is due first, counted from the caller's first try. A full
- * queue gives up its lightest request for a heavier one.
+ * Queues requests until another request finishes. The queue is fair between workspaces. Within a workspace, requests that
+ * are not overdue go first, then the heaviest, then the earliest due. A full queue drops its lightest request for a heavier one.
  */
 export class HoldQueue {
-    private readonly entries = new Set<Entry>();
-    private readonly turns = new Map<string, number>();
+    private readonly entries = new Set<QueueEntry>();
+    /** Virtual start time of the next request, by workspace. */
+    private readonly nextStartTimes = new Map<string, number>();
+    /** Virtual time of fair queueing: the start time of the last released request. */
     private virtualTime = 0;
-    private reviewing = false;
-    private readonly pace = new AdmissionInterval();
+    private isReviewScheduled = false;
+    private readonly admissionInterval = new AdmissionInterval();
 
     /** @param clock - The clock for time limits. */
     constructor(private readonly clock: Clock) {}
 
-    /** Number of requests that wait. */
+    /** Number of queued requests. */
     get length(): number {
         return this.entries.size;
     }
 
     /**
-     * Tells whether there is room for a request, displacing a lighter one if need be.
+     * Makes sure that the queue can take one more request, if necessary by displacing a lighter one.
      *
-     * @param weight - Weight of the request that wants to wait.
-     * @param maximumQueued - Most requests that wait.
+     * @param weight - Weight of the new request.
+     * @param maximumQueued - Most requests in the queue.
+     * @returns Whether the request may be queued.
      */
     ensureCapacity(weight: number, maximumQueued: number): boolean {
         if (this.entries.size < maximumQueued) {
@@ -74,79 +76,81 @@
         return true;
     }
 
-    /** Waits until it is worth deciding again, or until waiting ends. */
-    wait(waiting: QueuedRequest): Promise<HoldResult> {
+    /** Queues a request until it is to be decided again, is displaced or its caller disconnects. */
+    wait(request: QueuedRequest): Promise<HoldResult> {
         return new Promise(resolve => {
-            const entry: Entry = {
-                ...waiting,
+            const entry: QueueEntry = {
+                ...request,
                 finish: result => {
                     this.entries.delete(entry);
                     timer.cancel();
-                    forget();
+                    removeListener();
                     resolve(result);
                 },
             };
-            const timer = this.clock.after(waiting.untilMs - this.clock.nowMs(), () => entry.finish("decide-again"));
-            const forget = waiting.onDisconnect(() => entry.finish("gone"));
+            const timer = this.clock.after(request.untilMs - this.clock.nowMs(), () => entry.finish("decide-again"));
+            const removeListener = request.onDisconnect(() => entry.finish("disconnected"));
             this.entries.add(entry);
-            this.review();
+            this.scheduleReview();
         });
     }
 
-    /** Lets the next request decide again, because something finished. */
+    /** Releases the next request to be decided again; called when a request has finished. */
     wake(): void {
-        const next = this.next();
-        if (next !== undefined) {
-            this.virtualTime = Math.max(this.virtualTime, this.turns.get(next.workspace) ?? 0);
-            this.turns.set(next.workspace, this.virtualTime + 1);
-            next.finish("decide-again");
+        const entry = this.selectNext();
+        if (entry !== undefined) {
+            this.virtualTime = Math.max(this.virtualTime, this.nextStartTimes.get(entry.workspace) ?? 0);
+            this.nextStartTimes.set(entry.workspace, this.virtualTime + 1);
+            entry.finish("decide-again");
         }
         if (this.entries.size === 0) {
-            this.turns.clear();
+            this.nextStartTimes.clear();
         }
     }
 
-    /** Number of requests of its workspace that wait and go before one; other workspaces have turns of their own. */
-    countAhead(place: QueuePosition): number {
-        return [...this.entries].filter(entry => entry.workspace === place.workspace && this.compare(entry, place) < 0).length;
+    /** Number of queued requests of the same workspace that go before a position. */
+    countAhead(position: QueuePosition): number {
+        return [...this.entries].filter(entry => entry.workspace === position.workspace && this.compare(entry, position) < 0)
+            .length;
     }
 
-    /** Notes that a request which had waited was sent to an upstream. */
+    /** Records that a queued request was sent to an upstream. */
     recordAdmitted(): void {
-        this.pace.note(this.clock.nowMs());
+        this.admissionInterval.record(this.clock.nowMs());
     }
 
-    /** Time for which a request is expected to wait here before it is sent, as fast as those before it were; 0 while nothing waits. */
-    expectedWaitMs(place: QueuePosition): number {
-        const ahead = this.countAhead(place);
-        return ahead === 0 ? 0 : ahead * this.pace.intervalMs(this.clock.nowMs());
+    /** Expected queueing time in milliseconds, from the rate of recent admissions; 0 if no request is ahead. */
+    expectedWaitMs(position: QueuePosition): number {
+        const ahead = this.countAhead(position);
+        return ahead === 0 ? 0 : ahead * this.admissionInterval.intervalMs(this.clock.nowMs());
     }
 
-    private next(): Entry | undefined {
-        const turnOf = (entry: Entry): number => Math.max(this.turns.get(entry.workspace) ?? 0, this.virtualTime);
-        return [...this.entries].reduce<Entry | undefined>((best, entry) => {
-            const order = best === undefined ? -1 : turnOf(entry) - turnOf(best) || this.compare(entry, best);
+    private selectNext(): QueueEntry | undefined {
+        const startTimeOf = (entry: QueueEntry): number =>
+            Math.max(this.nextStartTimes.get(entry.workspace) ?? 0, this.virtualTime);
+        return [...this.entries].reduce<QueueEntry | undefined>((best, entry) => {
+            const order = best === undefined ? -1 : startTimeOf(entry) - startTimeOf(best) || this.compare(entry, best);
             return order < 0 ? entry : best;
         }, undefined);
     }
 
-    /** Those whose answer can still be in time go first; then the heaviest, then whoever is due first. */
+    /** Orders requests: not overdue first, then by weight, due time and arrival. */
     private compare(a: QueuePosition, b: QueuePosition): number {
         const nowMs = this.clock.nowMs();
         const lateness = Number(a.dueAtMs <= nowMs) - Number(b.dueAtMs <= nowMs);
         return lateness || b.weight - a.weight || a.dueAtMs - b.dueAtMs || a.arrivedAtMs - b.arrivedAtMs;
     }
 
-    private review(): void {
-        if (this.reviewing) {
+    private scheduleReview(): void {
+        if (this.isReviewScheduled) {
             return;
         }
-        this.reviewing = true;
-        this.clock.after(reviewMs, () => {
-            this.reviewing = false;
+        this.isReviewScheduled = true;
+        this.clock.after(reviewIntervalMs, () => {
+            this.isReviewScheduled = false;
             this.wake();
             if (this.entries.size > 0) {
-                this.review();
+                this.scheduleReview();
             }
         });
     }
--- a/packages/daemon/src/request/latency-budget.ts
+++ b/packages/daemon/src/request/latency-budget.ts
@@ -1,5 +1,5 @@
 /**
- * How urgent a request is, and for how long it can wait.
+ * Computes the time left of a request: until its target, its slack and its hold time.
  *
  * @packageDocumentation
  */
@@ -10,74 +10,74 @@
 import type { QueuePosition } from "./hold-queue.js";
 import type { RequestMetadata } from "./request-metadata.js";
 
-/** Options of {@link Urgency}. */
-export interface UrgencyOptions {
+/** Options of {@link LatencyBudget}. */
+export interface LatencyBudgetOptions {
     readonly clock: Clock;
     readonly runtime: ServiceRuntime;
     readonly route: Route;
-    readonly arrival: RequestMetadata;
+    readonly metadata: RequestMetadata;
     readonly arrivedAtMs: number;
-    /** When the request is given up. */
+    /** Time at which the request is given up. */
     readonly deadlineAtMs: number;
 }
 
-/** Share of the target that work is taken to need while nothing is known of it. */
-const unknownWorkShare = 0.5;
+/** Share of the target that is assumed for the response time while there is no baseline. */
+const assumedWorkShare = 0.5;
 
-/** Holding for less is no use, and would be decided again without any time passing, in milliseconds. */
-const shortestHoldMs = 1;
+/** Shortest hold time, in milliseconds; a shorter one would be decided again without delay. */
+const minimumHoldMs = 1;
 
-/** The urgency of one request, counted from its caller's first try. */
-export class Urgency {
+/** Latency budget of one request, counted from the caller's first try. */
+export class LatencyBudget {
     private readonly arrivedAtMs: number;
-    /** Time since the caller's first try when this one arrived, as far as its deadline shows it. */
+    /** Estimated time between the caller's first try and this request, from the timeout that the caller sent. */
     private readonly elapsedMs: number;
-    /** Whether it had any slack when it arrived; what had none is late wherever it goes, and waits for room all the same. */
-    private readonly couldBeInTime: boolean;
+    /** Whether the request had slack on arrival; without it, the hold time is not limited by the slack. */
+    private readonly hadSlackOnArrival: boolean;
 
-    /** @param options - The request and its service; its arrival is noted there. */
-    constructor(private readonly options: UrgencyOptions) {
-        const { runtime, route, arrival, arrivedAtMs } = options;
+    /** @param options - The request and its service, which records the caller's timeout. */
+    constructor(private readonly options: LatencyBudgetOptions) {
+        const { runtime, route, metadata, arrivedAtMs } = options;
         this.arrivedAtMs = arrivedAtMs;
-        this.elapsedMs = arrival.callerTimeoutMs === undefined
+        this.elapsedMs = metadata.callerTimeoutMs === undefined
             ? 0
-            : runtime.callerTimeouts.record(route.kind.name, arrival.callerTimeoutMs);
-        this.couldBeInTime = this.slackMs > 0;
+            : runtime.callerTimeouts.record(route.kind.name, metadata.callerTimeoutMs);
+        this.hadSlackOnArrival = this.slackMs > 0;
     }
 
-    /** Milliseconds until the target; negative when it has passed, 0 without one. */
+    /** Milliseconds until the latency target; negative when it has passed, 0 without a target. */
     get targetLeftMs(): number {
         const { targetLatencyMs } = this.options.route.kind;
         return targetLatencyMs > 0 ? targetLatencyMs - this.elapsedMs - this.ageMs : 0;
     }
 
-    /** Milliseconds for which it can wait and most likely still be answered by the target; 0 without one. */
+    /** Milliseconds until the target beyond the 90th percentile of response times; 0 without a target. */
     get slackMs(): number {
         const { route, runtime } = this.options;
         const { name, targetLatencyMs } = route.kind;
-        const mostMs = runtime.latencyBaselines.p90Of(name) ?? targetLatencyMs * unknownWorkShare;
-        return targetLatencyMs > 0 ? this.targetLeftMs - mostMs : 0;
+        const p90Ms = runtime.latencyBaselines.p90Of(name) ?? targetLatencyMs * assumedWorkShare;
+        return targetLatencyMs > 0 ? this.targetLeftMs - p90Ms : 0;
     }
 
-    /** Where it stands among requests that are held back. */
-    get place(): QueuePosition {
-        const { route, arrival, deadlineAtMs } = this.options;
+    /** Position among the queued requests. */
+    get queuePosition(): QueuePosition {
+        const { route, metadata, deadlineAtMs } = this.options;
         const { weight, targetLatencyMs } = route.kind;
         const dueAtMs = targetLatencyMs > 0 ? this.arrivedAtMs - this.elapsedMs + targetLatencyMs : deadlineAtMs;
-        return { workspace: arrival.workspace, weight, dueAtMs, arrivedAtMs: this.arrivedAtMs };
+        return { workspace: metadata.workspace, weight, dueAtMs, arrivedAtMs: this.arrivedAtMs };
     }
 
     /**
-     * For how long it may still be held back: while that can help, and never beyond the policy's share of the target.
+     * Returns how long the request may still be held: within its slack, its deadline and the maximum hold time.
      *
-     * @param heldMs - For how long it has been held.
+     * @param heldMs - Time for which the request was held so far.
      * @returns Milliseconds.
      */
     holdLeftMs(heldMs: number): number {
         const { clock, deadlineAtMs } = this.options;
         const leftMs = Math.min(this.maximumHoldMs - heldMs, deadlineAtMs - clock.nowMs());
-        const usefulMs = this.couldBeInTime ? Math.min(leftMs, this.slackMs) : leftMs;
-        return usefulMs < shortestHoldMs ? 0 : usefulMs;
+        const usefulMs = this.hadSlackOnArrival ? Math.min(leftMs, this.slackMs) : leftMs;
+        return usefulMs < minimumHoldMs ? 0 : usefulMs;
     }
 
     private get ageMs(): number {
--- a/packages/daemon/src/request/mailbox.ts
+++ b/packages/daemon/src/request/mailbox.ts
@@ -1,24 +1,24 @@
 /**
- * A mailbox for one task.
+ * An asynchronous queue of messages to one task.
  *
  * @packageDocumentation
  */
 
-/** Keeps messages in their order until the one task that reads them takes them. */
+/** Queue of messages with a single reader. */
 export class Mailbox<Message> {
-    private readonly waiting: Message[] = [];
+    private readonly messages: Message[] = [];
     private wake: (() => void) | undefined;
 
-    /** Puts a message in; never waits. */
+    /** Adds a message. */
     post(message: Message): void {
-        this.waiting.push(message);
+        this.messages.push(message);
         this.wake?.();
     }
 
-    /** Takes the oldest message, waiting for one if there is none. */
+    /** Removes and returns the oldest message; waits if there is none. */
     async take(): Promise<Message> {
         for (;;) {
-            const message = this.waiting.shift();
+            const message = this.messages.shift();
             if (message !== undefined) {
                 return message;
             }
--- a/packages/daemon/src/request/may-retry.ts
+++ b/packages/daemon/src/request/may-retry.ts
@@ -1,5 +1,5 @@
 /**
- * Whether a request may be sent to another upstream.
+ * Decides whether a request may be retried.
  *
  * @packageDocumentation
  */
@@ -7,11 +7,11 @@
 import type { RequestBody } from "./request-body.js";
 import type { RequestProgress } from "./request-progress.js";
 
-/** Attempts that reached no upstream and do not count against the kind's limit. */
+/** Attempts beyond the kind's limit that are allowed because others reached no upstream. */
 const maximumUnsentAttempts = 3;
 
 /**
- * Tells whether a further attempt is allowed. What may not be repeated is sent again only on evidence that it has not run.
+ * Whether another attempt is allowed. A request that is not repeatable is retried only if it has certainly not run.
  *
  * @param progress - The request.
  * @param body - Its body.
--- a/packages/daemon/src/request/problem.ts
+++ b/packages/daemon/src/request/problem.ts
@@ -1,12 +1,12 @@
 /**
- * Problem answers (RFC 9457): every error answer of the daemon's own.
+ * Problem responses (RFC 9457): all error responses that the daemon itself generates.
  *
  * @packageDocumentation
  */
 
 import type { Outcome, RequestId } from "@harrierhitch/core";
 
-/** The kinds of problems, with status and title. Types are stable. */
+/** The kinds of problems with status and title. The kinds are stable. */
 export const problemKinds = {
     "bad-request": { status: 400, title: "The request is not valid HTTP" },
     "no-route": { status: 404, title: "No route matches the request" },
@@ -26,24 +26,24 @@
     "too-deep": { status: 508, title: "The call is too deep" },
 } as const;
 
-/** Kind of a problem; the last part of its type. */
+/** Kind of a problem; the last part of its type URN. */
 export type ProblemKind = keyof typeof problemKinds;
 
 /** One problem. */
 export interface Problem {
     readonly kind: ProblemKind;
-    /** What happened, for people. */
+    /** Human-readable description. */
     readonly detail: string;
     /** Whether the request ran. */
     readonly outcome: Outcome;
-    /** When coming back makes sense; absent where it does not. */
+    /** Milliseconds after which a retry makes sense; absent if none does. */
     readonly retryAfterMs?: number;
 }
 
-/** Header that tells callers whether their request ran. */
+/** Header with the outcome of the request: whether it ran. */
 export const outcomeHeader = "x-request-outcome";
 
-/** The body of a problem answer, as an object. */
+/** Returns the body of a problem response as an object. */
 export const problemBody = (problem: Problem, id: RequestId | undefined) => ({
     type: `urn:harrierhitch:problem:${problem.kind}`,
     title: problemKinds[problem.kind].title,
@@ -53,7 +53,7 @@
     ...(id === undefined ? {} : { instance: `urn:harrierhitch:request:${id}` }),
 });
 
-/** The headers of a problem answer. */
+/** Returns the headers of a problem response. */
 export const problemHeaders = (problem: Problem, bodyBytes: number): Record<string, string | number> => ({
     "content-type": "application/problem+json",
     "content-length": bodyBytes,
--- a/packages/daemon/src/request/quarantine-trials.ts
+++ b/packages/daemon/src/request/quarantine-trials.ts
@@ -1,5 +1,5 @@
 /**
- * Trying once what is withheld.
+ * Lets a single trial request through for each quarantined signature.
  *
  * @packageDocumentation
  */
@@ -9,52 +9,52 @@
 
 /** Options of {@link QuarantineTrials}. */
 export interface QuarantineTrialsOptions {
-    /** Whether what is withheld may be tried now, and by this instance. */
-    readonly mayTry: (pattern: RequestSignature) => boolean;
-    /** Told of a request that tries. */
-    readonly onTrial: (request: RequestId, patterns: readonly RequestSignature[]) => void;
+    /** Whether a trial of a signature is due and belongs to this instance. */
+    readonly isTrialDue: (signature: RequestSignature) => boolean;
+    /** Called when a request becomes a trial. */
+    readonly onTrial: (request: RequestId, signatures: readonly RequestSignature[]) => void;
 }
 
-/**
- * Lets one request of this instance through, once for each pattern that is withheld: one that ends upstreams costs
- * one more, and an innocent is found out by its answer. Whatever becomes of a trial that may have run, it is the only one.
- */
+/** Admits one request for each quarantined signature; a trial that may have run is not repeated, whatever its result. */
 export class QuarantineTrials {
-    private readonly triedBy = new Map<RequestSignature, RequestId>();
-    /** The requests that try, while they have no answer. */
-    private readonly trying = new Set<RequestId>();
+    /** The trial of each signature. */
+    private readonly trialRequests = new Map<RequestSignature, RequestId>();
+    /** Trials that are not completed. */
+    private readonly activeTrials = new Set<RequestId>();
 
-    /** @param options - What may be tried. */
+    /** @param options - Callbacks. */
     constructor(private readonly options: QuarantineTrialsOptions) {}
 
-    /** Whether a request may be sent although it is withheld for some patterns. */
-    admits(request: RequestId, patterns: readonly RequestSignature[]): boolean {
-        if (this.trying.has(request)) {
-            return patterns.every(pattern => this.triedBy.get(pattern) === request);
+    /** Whether a request may be sent although its signatures are quarantined; if so, it becomes their trial. */
+    admits(request: RequestId, signatures: readonly RequestSignature[]): boolean {
+        if (this.activeTrials.has(request)) {
+            return signatures.every(signature => this.trialRequests.get(signature) === request);
         }
-        if (!patterns.every(pattern => !this.triedBy.has(pattern) && this.options.mayTry(pattern))) {
+        if (!signatures.every(signature => !this.trialRequests.has(signature) && this.options.isTrialDue(signature))) {
             return false;
         }
-        patterns.forEach(pattern => this.triedBy.set(pattern, request));
-        this.trying.add(request);
-        this.options.onTrial(request, patterns);
+        signatures.forEach(signature => this.trialRequests.set(signature, request));
+        this.activeTrials.add(request);
+        this.options.onTrial(request, signatures);
         return true;
     }
 
-    /** Whether a request is one that tries. */
+    /** Whether a request is a running trial. */
     includes(request: RequestId): boolean {
-        return this.trying.has(request);
+        return this.activeTrials.has(request);
     }
 
-    /** Notes that a request has got its answer; one that has not run leaves the trial to another. */
-    noteSettled(request: RequestId, mayHaveRun: boolean): void {
-        if (this.trying.delete(request) && !mayHaveRun) {
-            [...this.triedBy].filter(([, by]) => by === request).forEach(([pattern]) => this.triedBy.delete(pattern));
+    /** Records a completed request; if it was a trial and has not run, another request may become the trial. */
+    recordCompleted(request: RequestId, mayHaveRun: boolean): void {
+        if (this.activeTrials.delete(request) && !mayHaveRun) {
+            [...this.trialRequests].filter(([, by]) => by === request).forEach(([signature]) =>
+                this.trialRequests.delete(signature)
+            );
         }
     }
 
-    /** Forgets a pattern that is no longer withheld. */
-    forget(pattern: RequestSignature): void {
-        this.triedBy.delete(pattern);
+    /** Removes a signature that is no longer quarantined. */
+    remove(signature: RequestSignature): void {
+        this.trialRequests.delete(signature);
     }
 }
--- a/packages/daemon/src/request/receive-body.ts
+++ b/packages/daemon/src/request/receive-body.ts
@@ -1,27 +1,27 @@
 /**
- * Taking a request: its body, and its turn among the requests of its connection.
+ * Receives a request's body, and preserves the order of pipelined requests.
  *
  * @packageDocumentation
  */
 
-import { BodyCutShortError, type BodyLimits, BodyTooLargeError, type RequestBody, takeBody } from "./request-body.js";
+import { BodyCutShortError, type BodyLimits, BodyTooLargeError, readBody, type RequestBody } from "./request-body.js";
 import type { RequestProgress } from "./request-progress.js";
 
 /**
- * Takes the body of a request that has come through few enough hops.
+ * Receives a request's body. The request is given up if it has passed too many hops or its body is too large.
  *
- * @param progress - The request; it is given up here when its body cannot be taken.
+ * @param progress - The request.
  * @param limits - Limits of bodies.
- * @returns The body; `undefined` when the request is settled already.
+ * @returns The body; `undefined` if the request is finished.
  */
-export const acceptBody = async (progress: RequestProgress, limits: BodyLimits): Promise<RequestBody | undefined> => {
+export const receiveBody = async (progress: RequestProgress, limits: BodyLimits): Promise<RequestBody | undefined> => {
     const { maximumDepth } = progress.record.configuration.fleet;
-    if (progress.arrival.depth >= maximumDepth) {
+    if (progress.metadata.depth >= maximumDepth) {
         progress.giveUp({ kind: "too-deep", detail: `more than ${maximumDepth} hops`, outcome: "not-run" });
         return undefined;
     }
     try {
-        return await takeBody(progress.request, limits);
+        return await readBody(progress.request, limits);
     }
     catch (thrown) {
         if (thrown instanceof BodyTooLargeError) {
@@ -38,13 +38,13 @@
 };
 
 /**
- * Waits for the turn of a request that may not be repeated: it is begun only when everything before it on its connection
- * is answered. If one of those answers closes the connection, the caller takes it for unread and sends it again.
+ * Waits until a request that is not repeatable may be sent: all earlier requests on its connection must have responses.
+ * If one of these closes the connection, the caller may assume that the request was not read and repeat it.
  *
- * @returns Whether it may be begun; otherwise it is settled.
+ * @returns Whether the request may be sent; otherwise it is finished.
  */
-export const isItsTurn = async (progress: RequestProgress): Promise<boolean> => {
-    if (progress.route.kind.repeatable || await progress.answer.awaitPipelineOrder()) {
+export const awaitPipelineOrder = async (progress: RequestProgress): Promise<boolean> => {
+    if (progress.route.kind.repeatable || await progress.response.awaitPipelineOrder()) {
         return true;
     }
     progress.record.outcome = "not-run";
--- a/packages/daemon/src/request/record-service-time.ts
+++ b/packages/daemon/src/request/record-service-time.ts
@@ -1,5 +1,5 @@
 /**
- * What the time that an answer took teaches of its upstream.
+ * Records service times to learn baselines and contention.
  *
  * @packageDocumentation
  */
@@ -8,44 +8,44 @@
 import type { UpstreamFacts } from "@harrierhitch/policy";
 import type { ServiceRuntime } from "../upstream/service-runtime.js";
 
-/** How long an upstream has worked on a request. */
-export interface Work {
+/** Service time of one attempt. */
+export interface ServiceTimeSample {
     readonly runtime: ServiceRuntime;
     /** Name of the request's kind. */
     readonly kind: string;
-    /** What the choice of the upstream knew of it. */
-    readonly chosenBy: UpstreamFacts | undefined;
+    /** Facts about the upstream when it was selected. */
+    readonly selectionFacts: UpstreamFacts | undefined;
     readonly atMs: number;
     readonly latencyMs: number;
 }
 
-/** Learns from a whole answer how long work usually takes, and how much longer as slots fill. */
-export const learnFromWork = (work: Work): void => {
-    const { runtime, kind, chosenBy, latencyMs } = work;
-    if (chosenBy !== undefined) {
-        noteCrowding(work, chosenBy);
-        runtime.latencyBaselines.record(kind, latencyMs, expectedResponseTime(chosenBy));
+/** Updates the baseline of the kind and the contention curve from a complete response. */
+export const recordServiceTime = (sample: ServiceTimeSample): void => {
+    const { runtime, kind, selectionFacts, latencyMs } = sample;
+    if (selectionFacts !== undefined) {
+        recordContention(sample, selectionFacts);
+        runtime.latencyBaselines.record(kind, latencyMs, expectedResponseTime(selectionFacts));
     }
 };
 
-/** An attempt that another one overtook took at least so long: without those, crowded upstreams would look faster. */
-export const learnFromOvertaken = (work: Work): void => {
-    const { runtime, kind, chosenBy, latencyMs } = work;
-    const usualMs = runtime.latencyBaselines.baselineOf(kind);
-    if (chosenBy !== undefined && usualMs !== undefined && latencyMs > usualMs * chosenBy.expectedSlowness) {
-        noteCrowding(work, chosenBy);
+/** Records the lower bound from a cancelled hedged attempt; without it, busy upstreams would be estimated too fast. */
+export const recordHedgeLoser = (sample: ServiceTimeSample): void => {
+    const { runtime, kind, selectionFacts, latencyMs } = sample;
+    const baselineMs = runtime.latencyBaselines.baselineOf(kind);
+    if (selectionFacts !== undefined && baselineMs !== undefined && latencyMs > baselineMs * selectionFacts.expectedSlowness) {
+        recordContention(sample, selectionFacts);
     }
 };
 
-const noteCrowding = ({ runtime, kind, atMs, latencyMs }: Work, chosenBy: UpstreamFacts): void => {
-    const fill = (chosenBy.expectedInFlight + 1) / Math.max(1, chosenBy.slots);
-    const { reportAgeMs, expectedSlowness: slowness } = chosenBy;
+const recordContention = ({ runtime, kind, atMs, latencyMs }: ServiceTimeSample, selectionFacts: UpstreamFacts): void => {
+    const utilization = (selectionFacts.expectedInFlight + 1) / Math.max(1, selectionFacts.slots);
+    const { reportAgeMs, expectedSlowness: expectedSlowdown } = selectionFacts;
     runtime.tracker.recordResponse({
         atMs,
         latencyMs,
         baselineMs: runtime.latencyBaselines.baselineOf(kind),
-        utilization: fill,
-        expectedSlowdown: slowness,
+        utilization,
+        expectedSlowdown,
         reportAgeMs,
     });
 };
--- a/packages/daemon/src/request/refuse.ts
+++ b/packages/daemon/src/request/refuse.ts
@@ -1,5 +1,5 @@
 /**
- * Giving a request up because it was decided to refuse it.
+ * Refuses a request by a decision.
  *
  * @packageDocumentation
  */
@@ -9,18 +9,18 @@
 import type { RequestProgress } from "./request-progress.js";
 
 /**
- * Tells the caller of a refused request when to come back, and keeps its turn where upstreams name how much they take.
+ * Sends the problem of a refused request, and reserves a time for its retry if upstreams announce rate limits.
  *
  * @param progress - The request.
- * @param runtime - The state of its service.
- * @param decision - What was decided.
+ * @param runtime - State of its service.
+ * @param decision - The decision.
  */
 export const refuse = (progress: RequestProgress, runtime: ServiceRuntime, decision: RefuseDecision): void => {
     const { cause, reason, retryAfterMs } = decision;
     if (cause === "limited" && retryAfterMs < progress.remainingMs) {
         runtime.retryAfterSchedule.recordRetryAfter(retryAfterMs);
     }
-    if (cause === "limited" && progress.urgency.targetLeftMs >= 0) {
+    if (cause === "limited" && progress.latencyBudget.targetLeftMs >= 0) {
         runtime.retryAfterSchedule.recordRejection();
     }
     const kind = cause === "policy" ? "refused" : "no-upstream";
--- a/packages/daemon/src/request/rejection-retry-after.ts
+++ b/packages/daemon/src/request/rejection-retry-after.ts
@@ -1,5 +1,5 @@
 /**
- * When a caller that is refused should come back.
+ * Computes the `Retry-After` of rejected requests.
  *
  * @packageDocumentation
  */
@@ -9,15 +9,15 @@
 import type { DecisionRecord } from "./decision-record.js";
 
 /**
- * When a caller should come back: when one of them takes requests again, where all upstreams rest or name limits; at once where an upstream that has
- * room has just shed its request, so that it was not load that kept it from being served; else as its policy says.
+ * Returns after what time a caller should retry: when the first upstream becomes available if all back off or are limited,
+ * at once if an upstream with headroom has shed the request, else after the time set by the policy.
  *
- * @param record - What was decided on the request.
- * @param waits - For how long each upstream of its service takes nothing.
- * @param random - Keeps callers from coming back at the same moment.
+ * @param record - The record of the request.
+ * @param waits - Time for which each upstream of the service is unavailable.
+ * @param random - Spreads the retries of callers.
  * @returns Milliseconds.
  */
-export const returnAfterMs = (
+export const rejectionRetryAfterMs = (
     { attempts, route, steps }: DecisionRecord,
     waits: readonly UpstreamWait[],
     random: RandomSource,
--- a/packages/daemon/src/request/request-body.ts
+++ b/packages/daemon/src/request/request-body.ts
@@ -1,5 +1,5 @@
 /**
- * The body of a caller's request: kept whole when it is small, streamed otherwise.
+ * The body of a caller's request: buffered if it is small, streamed otherwise.
  *
  * @packageDocumentation
  */
@@ -8,17 +8,17 @@
 import type { IncomingMessage } from "node:http";
 import { Readable } from "node:stream";
 
-/** The body has more bytes than are allowed. */
+/** Thrown when a body exceeds the maximum size. */
 export class BodyTooLargeError extends HarrierhitchError {
     readonly code = "body-too-large";
 
-    /** @param maximumBytes - The limit. */
+    /** @param maximumBytes - The maximum size. */
     constructor(readonly maximumBytes: number) {
         super(`the request body has more than ${maximumBytes} bytes`);
     }
 }
 
-/** The caller left before it had sent its whole body. */
+/** Thrown when the caller disconnects before the body is complete. */
 export class BodyCutShortError extends HarrierhitchError {
     readonly code = "body-cut-short";
 
@@ -27,53 +27,53 @@
     }
 }
 
-/** A request's body, ready to be sent. */
+/** A request body that can be sent to an upstream. */
 export interface RequestBody {
-    /** Whether it can be sent again after a failed attempt. */
+    /** Whether the body can be sent again after a failed attempt. */
     readonly canReplay: boolean;
-    /** The whole body, when it is kept. */
-    readonly whole: Buffer | undefined;
-    /** The body for the next attempt; `undefined` when there is none. */
+    /** The complete body, if it is buffered. */
+    readonly buffered: Buffer | undefined;
+    /** Returns the body for the next attempt; `undefined` for a request without a body. */
     open(): Buffer | Readable | undefined;
 }
 
 /** Limits of bodies. */
 export interface BodyLimits {
-    /** Largest body. */
+    /** Maximum size of a body. */
     readonly maximumBytes: number;
-    /** Largest body that is kept for sending it again. */
+    /** Maximum size of a body that is buffered so that it can be sent again. */
     readonly replayBytes: number;
 }
 
-const noBody: RequestBody = { canReplay: true, whole: undefined, open: () => undefined };
+const emptyBody: RequestBody = { canReplay: true, buffered: undefined, open: () => undefined };
 
 /** Whether a request has a body. */
 export const hasBody = (request: IncomingMessage): boolean =>
     request.headers["transfer-encoding"] !== undefined || Number(request.headers["content-length"] ?? 0) > 0;
 
 /**
- * Takes a request's body.
+ * Reads a request's body, or prepares to stream it.
  *
  * @param request - The request.
  * @param limits - Limits of bodies.
- * @throws {@link BodyTooLargeError} or {@link BodyCutShortError}, both before anything was sent.
+ * @throws {@link BodyTooLargeError} or {@link BodyCutShortError}, before anything was sent to an upstream.
  */
-export const takeBody = async (request: IncomingMessage, limits: BodyLimits): Promise<RequestBody> => {
+export const readBody = async (request: IncomingMessage, limits: BodyLimits): Promise<RequestBody> => {
     if (!hasBody(request)) {
-        return noBody;
+        return emptyBody;
     }
     const length = request.headers["content-length"];
     if (length !== undefined && Number(length) > limits.maximumBytes) {
         throw new BodyTooLargeError(limits.maximumBytes);
     }
     if (length !== undefined && Number(length) <= limits.replayBytes) {
-        const whole = await readWhole(request);
-        return { canReplay: true, whole, open: () => whole };
+        const buffered = await readBuffered(request);
+        return { canReplay: true, buffered, open: () => buffered };
     }
     return new StreamedBody(request, limits.maximumBytes);
 };
 
-const readWhole = (request: IncomingMessage): Promise<Buffer> =>
+const readBuffered = (request: IncomingMessage): Promise<Buffer> =>
     new Promise((resolve, reject) => {
         const chunks: Buffer[] = [];
         request.on("data", (chunk: Buffer) => chunks.push(chunk));
@@ -81,9 +81,9 @@
         request.once("close", () => reject(new BodyCutShortError()));
     });
 
-/** A body that passes through with bounded memory and can be sent once. */
+/** A body that is streamed with bounded memory and can be sent only once. */
 class StreamedBody implements RequestBody {
-    readonly whole = undefined;
+    readonly buffered = undefined;
     private opened = false;
 
     constructor(private readonly request: IncomingMessage, private readonly maximumBytes: number) {}
@@ -93,15 +93,15 @@
     }
 
     open(): Readable {
-        const stream = new PassedBody(this.request, this.maximumBytes, () => {
+        const stream = new ForwardedBody(this.request, this.maximumBytes, () => {
             this.opened = true;
         });
         return stream;
     }
 }
 
-/** Reads from the caller's request without ever destroying it, so that it can still be answered. */
-class PassedBody extends Readable {
+/** Reads from the caller's request without destroying it, so that a response can still be sent. */
+class ForwardedBody extends Readable {
     private bytes = 0;
     private attached = false;
 
--- a/packages/daemon/src/request/request-dispatcher.ts
+++ b/packages/daemon/src/request/request-dispatcher.ts
@@ -1,5 +1,5 @@
 /**
- * Where requests enter: the route of each, and the task that serves it.
+ * Routes requests and starts the task that serves each of them.
  *
  * @packageDocumentation
  */
@@ -21,51 +21,54 @@
 export interface RequestDispatcherOptions {
     readonly services: RequestServices;
     readonly accepted: ActiveConfiguration;
-    /** The state of all services. */
+    /** State of all services. */
     readonly registry: ServiceRegistry;
     readonly telemetry: Telemetry;
-    /** Draws that spread requests over the parts of a route. */
+    /** Random samples that spread requests over the destinations of a route. */
     readonly samples: LowDiscrepancySequence;
 }
 
-/** A request that has arrived. */
+/** A received request. */
 export interface ArrivedRequest {
     readonly request: IncomingMessage;
     readonly response: CallerResponse;
-    /** When it arrived: earlier than now where it waited for this instance to be ready. */
+    /** Time of arrival; earlier than now if the request waited for this instance to become ready. */
     readonly arrivedAtMs: number;
-    /** Whether the configuration in force may be relied on. */
+    /** Whether peers were contacted, so that the active configuration is up to date. */
     readonly hasContactedPeers: boolean;
 }
 
-/** Finds the route of each request and has it served. */
+/** Finds the route of each request and serves it. */
 export class RequestDispatcher {
-    /** @param options - Services and the configuration in force. */
+    /** @param options - Services and the active configuration. */
     constructor(private readonly options: RequestDispatcherOptions) {}
 
-    /** Serves one request to its end. */
-    async serve({ request, response: answer, arrivedAtMs, hasContactedPeers: hasHeardOthers }: ArrivedRequest): Promise<void> {
-        const { services, accepted: { current: inForce }, registry, telemetry } = this.options;
-        if (inForce === undefined || !hasHeardOthers) {
-            const detail = inForce === undefined ? "no configuration has been accepted yet" : "others have not been heard yet";
-            answer.sendProblem({ kind: "not-ready", detail, outcome: "not-run", retryAfterMs: notReadyRetryAfterMs }, undefined);
+    /** Serves a request until it is finished. */
+    async serve({ request, response, arrivedAtMs, hasContactedPeers }: ArrivedRequest): Promise<void> {
+        const { services, accepted: { current }, registry, telemetry } = this.options;
+        if (current === undefined || !hasContactedPeers) {
+            const detail = current === undefined ? "no configuration has been accepted yet" : "others have not been heard yet";
+            response.sendProblem(
+                { kind: "not-ready", detail, outcome: "not-run", retryAfterMs: notReadyRetryAfterMs },
+                undefined,
+            );
             return;
         }
-        const { configuration } = inForce;
+        const { configuration } = current;
         const path = pathOf(request.url ?? "/");
         const group = configuration.router.find(request.method ?? "", hostOf(request), path);
-        const route = group && this.pick(group);
+        const route = group && this.selectRoute(group);
         const runtime = route && registry.get(route.service.name);
         if (route === undefined || runtime === undefined) {
             telemetry.requestUnrouted(request, path, configuration.generation);
-            answer.sendProblem({ kind: "no-route", detail: `${request.method} ${path}`, outcome: "not-run" }, undefined);
+            response.sendProblem({ kind: "no-route", detail: `${request.method} ${path}`, outcome: "not-run" }, undefined);
             return;
         }
-        const progress = new RequestProgress(services, runtime, { configuration, route, request, answer, arrivedAtMs });
+        const progress = new RequestProgress(services, runtime, { configuration, route, request, response, arrivedAtMs });
         await new RequestTask(services, runtime, progress).run();
     }
 
-    private pick(group: RouteGroup): Route | undefined {
+    private selectRoute(group: RouteGroup): Route | undefined {
         return selectRoute(group, group.destinations.length > 1 ? this.options.samples.next(group.name) : 0);
     }
 }
--- a/packages/daemon/src/request/request-event.ts
+++ b/packages/daemon/src/request/request-event.ts
@@ -1,15 +1,16 @@
 /**
- * What happens to a request while its attempts run.
+ * Events that a request handles while its attempts run.
  *
  * @packageDocumentation
  */
 
 import type { AttemptReport } from "./attempt-task.js";
 
-/** What a request that waits for its attempts can be told. */
+/** An event of a request with running attempts. */
 export type RequestEvent =
     | { readonly type: "ended"; readonly report: AttemptReport; }
-    /** The first attempt takes long: a second one may begin. */
-    | { readonly type: "slow"; }
+    /** The hedge interval has passed without a response. */
+    | { readonly type: "hedge-due"; }
+    /** The deadline has passed. */
     | { readonly type: "expired"; }
     | { readonly type: "caller-left"; };
--- a/packages/daemon/src/request/request-hold.ts
+++ b/packages/daemon/src/request/request-hold.ts
@@ -1,5 +1,5 @@
 /**
- * Holding a request back until something finishes.
+ * Holds a request in the queue of its service.
  *
  * @packageDocumentation
  */
@@ -9,19 +9,18 @@
 import type { RequestProgress } from "./request-progress.js";
 
 /**
- * Holds a request back, within the limits of its service.
+ * Queues a request within the limits of its service, and gives it up if it cannot wait any longer.
  *
- * @param progress - The request; it is given up here when it cannot be held any longer.
- * @param runtime - The state of its service.
+ * @param progress - The request.
+ * @param runtime - State of its service.
  * @param clock - The clock.
- * @returns Whether the request is settled; otherwise it is time to decide again.
+ * @returns Whether the request is finished; otherwise it is to be decided again.
  */
 export const holdRequest = async (progress: RequestProgress, runtime: ServiceRuntime, clock: Clock): Promise<boolean> => {
     const { service, kind } = progress.route;
     const { holdLeftMs } = progress;
     if (holdLeftMs <= 0 && progress.decidedHoldLeftMs > 0) {
-        // The time ran out after the decision: the policy, told so, may still send it. Refused here, such requests would be lost
-        // though upstreams have room.
+        // The hold time ran out after the decision. The policy decides again and may still send the request.
         return false;
     }
     if (holdLeftMs <= 0 || !runtime.queue.ensureCapacity(kind.weight, service.maximumQueued)) {
@@ -30,15 +29,15 @@
     }
     const heldSinceMs = clock.nowMs();
     const result = await runtime.queue.wait({
-        ...progress.urgency.place,
+        ...progress.latencyBudget.queuePosition,
         untilMs: Math.min(heldSinceMs + holdLeftMs, progress.deadlineAtMs),
-        onDisconnect: listener => progress.answer.onCallerLeft(listener),
+        onDisconnect: listener => progress.response.onCallerDisconnect(listener),
     });
     progress.heldMs += clock.nowMs() - heldSinceMs;
     switch (result) {
         case "decide-again":
             return false;
-        case "gone":
+        case "disconnected":
             progress.record.outcome = progress.outcomeSoFar();
             break;
         case "displaced":
--- a/packages/daemon/src/request/request-key.ts
+++ b/packages/daemon/src/request/request-key.ts
@@ -1,5 +1,5 @@
 /**
- * Recognizing a request that comes again.
+ * Computes keys by which repeated requests are recognized.
  *
  * @packageDocumentation
  */
@@ -10,21 +10,21 @@
 import type { RequestBody } from "./request-body.js";
 import { hostOf, pathOf } from "./request-metadata.js";
 
-/** Hexadecimal digits of the part for method, host and path: two of a million are the same with a chance of 1 in 37 million. */
+/** Hexadecimal digits of the hash of method, host and path. */
 const pathDigits = 16;
 
-/** Those of the parts for caller, query and body, which are compared among requests of one path only. */
-const traitDigits = 8;
+/** Hexadecimal digits of the hashes of caller, query and body; fewer suffice among requests with the same path. */
+const attributeDigits = 8;
 
 const digest = (content: string | Buffer, digits: number): string =>
     createHash("sha256").update(content).digest("hex").slice(0, digits);
 
 /**
- * The key of a request.
+ * Computes the key of a request.
  *
  * @param request - The request.
- * @param caller - The caller's address as it was when the request arrived: a socket that is closed has none.
- * @param body - Its body; one that is too large to be kept counts by its length alone.
+ * @param caller - The caller's address on arrival; a closed socket no longer has one.
+ * @param body - Its body; of a body that is not buffered, only the length is used.
  * @returns A key that is the same on every instance.
  */
 export const requestKeyOf = (request: IncomingMessage, caller: string, body: RequestBody): RequestKey => {
@@ -32,8 +32,8 @@
     const path = pathOf(url);
     return requestKey([
         digest([method, hostOf(request), path].join("\0"), pathDigits),
-        digest(caller, traitDigits),
-        digest(url.slice(path.length), traitDigits),
-        digest(body.whole ?? headers["content-length"] ?? "", traitDigits),
+        digest(caller, attributeDigits),
+        digest(url.slice(path.length), attributeDigits),
+        digest(body.buffered ?? headers["content-length"] ?? "", attributeDigits),
     ].join(""));
 };
--- a/packages/daemon/src/request/request-metadata.ts
+++ b/packages/daemon/src/request/request-metadata.ts
@@ -1,44 +1,44 @@
 /**
- * What a caller's request says of itself.
+ * Metadata of a caller's request, read from its head.
  *
  * @packageDocumentation
  */
 
 import type { IncomingMessage } from "node:http";
 
-/** What was read from the head of a request. */
+/** Metadata from the head of a request. */
 export interface RequestMetadata {
-    /** Milliseconds for which the caller will wait, at most the kind's. */
+    /** Timeout of the request in milliseconds, at most that of its kind. */
     readonly timeoutMs: number;
-    /** Milliseconds for which the caller itself will wait; `undefined` when it does not say. */
+    /** Timeout that the caller sent, in milliseconds; `undefined` if it sent none. */
     readonly callerTimeoutMs: number | undefined;
-    /** Name of the caller's workspace; empty when it names none. */
+    /** Name of the caller's workspace; empty if it sent none. */
     readonly workspace: string;
-    /** Number of harrierhitch hops before this one. */
+    /** Number of load balancer hops before this one. */
     readonly depth: number;
     /** Path without the query. */
     readonly path: string;
 }
 
-/** Longest header value that is taken. */
+/** Length to which header values are truncated. */
 const maximumValueLength = 256;
 
-/** The path of a URL, without its query. */
+/** Returns the path of a URL without its query. */
 export const pathOf = (url: string): string => {
     const query = url.indexOf("?");
     return query < 0 ? url : url.slice(0, query);
 };
 
-/** The host that a request names, in lower case and without the port; empty when it names none. */
+/** Returns the host of a request in lower case and without its port; empty if there is none. */
 export const hostOf = (request: IncomingMessage): string => (request.headers.host ?? "").toLowerCase().replace(/:\d*$/, "");
 
-/** A header's text; `undefined` when it is missing, empty or repeated. */
+/** Returns a header's text; `undefined` if it is missing, empty or repeated. */
 export const textHeader = (request: IncomingMessage, name: string): string | undefined => {
     const value = request.headers[name];
     return typeof value === "string" && value !== "" ? value.slice(0, maximumValueLength) : undefined;
 };
 
-/** A header's whole number; `undefined` when it is none. */
+/** Returns a header's value as a non-negative integer; `undefined` if it is none. */
 export const numberHeader = (request: IncomingMessage, name: string): number | undefined => {
     const text = textHeader(request, name);
     return text !== undefined && /^\d{1,9}$/.test(text) ? Number(text) : undefined;
--- a/packages/daemon/src/request/request-progress.ts
+++ b/packages/daemon/src/request/request-progress.ts
@@ -1,5 +1,5 @@
 /**
- * How far one request has come: its deadline, its record and what is known of it.
+ * State of one request: its deadline, its record and its outcome so far.
  *
  * @packageDocumentation
  */
@@ -12,69 +12,69 @@
 import { continueTrace, type TraceContext } from "../telemetry/trace-context.js";
 import type { ServiceRuntime } from "../upstream/service-runtime.js";
 import type { CallerResponse } from "./caller-response.js";
-import { toDecidedBy } from "./decision-log-fields.js";
+import { decisionLogFields } from "./decision-log-fields.js";
 import type { DecisionRecord } from "./decision-record.js";
-import { Urgency } from "./latency-budget.js";
+import { LatencyBudget } from "./latency-budget.js";
 import { outcomeHeader, type Problem, type ProblemKind, problemKinds } from "./problem.js";
-import { returnAfterMs } from "./rejection-retry-after.js";
+import { rejectionRetryAfterMs } from "./rejection-retry-after.js";
 import type { RequestBody } from "./request-body.js";
 import { requestKeyOf } from "./request-key.js";
 import type { RequestMetadata } from "./request-metadata.js";
 import type { RequestServices } from "./request-services.js";
 import type { RoutedRequest } from "./routed-request.js";
 
-/** Header that names a request to its caller. */
+/** Response header with the request ID. */
 export const requestIdHeader = "x-harrierhitch-request-id";
 
-/** Header with the decision in short. */
+/** Response header that summarises the decision. */
 export const decisionHeader = "x-harrierhitch-decision";
 
-/** Status that promises a caller that its request has not run. */
-const serviceUnavailable = 503;
+/** Status by which callers conclude that the request has not run. */
+const serviceUnavailableStatus = 503;
 
-/** An attempt is begun only when this much time is left. */
+/** Least time until the deadline for which an attempt is started. */
 const minimumAttemptMs = 1;
 
-/** The progress of one request. */
+/** Tracks one request from its arrival to its response. */
 export class RequestProgress {
     readonly route: Route;
     readonly request: IncomingMessage;
-    readonly answer: CallerResponse;
+    readonly response: CallerResponse;
     readonly arrivedAtMs: number;
     readonly deadlineAtMs: number;
-    readonly arrival: RequestMetadata;
+    readonly metadata: RequestMetadata;
     readonly trace: TraceContext;
     readonly record: DecisionRecord;
-    /** Time for which the request has been held back. */
+    /** Time for which the request has waited in the queue. */
     heldMs = 0;
-    /** How urgent it is. */
-    readonly urgency: Urgency;
+    /** Time left until the target, slack and hold time. */
+    readonly latencyBudget: LatencyBudget;
     private readonly callerAddress: string;
-    private knownKey: RequestKey | undefined;
+    private cachedKey: RequestKey | undefined;
 
     /**
-     * @param services - What the daemon provides to requests.
-     * @param runtime - The state of the route's service.
-     * @param routed - The request.
+     * @param services - Shared services for requests.
+     * @param runtime - State of the route's service.
+     * @param routed - The request and its route.
      */
     constructor(
         private readonly services: RequestServices,
         private readonly runtime: ServiceRuntime,
         routed: RoutedRequest,
     ) {
-        const { configuration, route, request, answer, arrivedAtMs } = routed;
+        const { configuration, route, request, response, arrivedAtMs } = routed;
         this.route = route;
         this.request = request;
-        this.answer = answer;
+        this.response = response;
         this.arrivedAtMs = arrivedAtMs;
         this.callerAddress = request.socket.remoteAddress ?? "";
-        this.arrival = services.dialect.readRequestMetadata(request, configuration, route.kind);
-        this.deadlineAtMs = this.arrivedAtMs + this.arrival.timeoutMs;
-        this.urgency = new Urgency({
+        this.metadata = services.headerProtocol.readRequestMetadata(request, configuration, route.kind);
+        this.deadlineAtMs = this.arrivedAtMs + this.metadata.timeoutMs;
+        this.latencyBudget = new LatencyBudget({
             clock: services.clock,
             runtime,
             route,
-            arrival: this.arrival,
+            metadata: this.metadata,
             arrivedAtMs,
             deadlineAtMs: this.deadlineAtMs,
         });
@@ -111,13 +111,13 @@
         return this.remainingMs <= minimumAttemptMs;
     }
 
-    /** Attempts of which something may have reached an upstream. */
+    /** Number of attempts that may have sent data to an upstream. */
     get sentAttempts(): number {
         return this.record.attempts.filter(attempt => attempt.result?.sent !== false).length;
     }
 
-    /** Why upstreams were left out of the last decision, each reason with its number. */
-    private get upstreamsOut(): Readonly<Record<string, number>> {
+    /** Number of upstreams that the last decision excluded, by reason. */
+    private get exclusionCounts(): Readonly<Record<string, number>> {
         const counts: Record<string, number> = {};
         (this.record.steps.at(-1)?.decision.exclusions ?? []).forEach(reason => {
             if (reason !== undefined) {
@@ -127,65 +127,65 @@
         return counts;
     }
 
-    /** Milliseconds for which it may still be held back. */
+    /** Milliseconds for which the request may still wait in the queue. */
     get holdLeftMs(): number {
-        return this.urgency.holdLeftMs(this.heldMs);
+        return this.latencyBudget.holdLeftMs(this.heldMs);
     }
 
-    /** Milliseconds for which it could be held back as the last decision knew it; 0 before the first. */
+    /** {@link holdLeftMs} at the time of the last decision; 0 before the first. */
     get decidedHoldLeftMs(): number {
         return this.record.steps.at(-1)?.input.request.holdLeftMs ?? 0;
     }
 
     /**
-     * The request as policies see it.
+     * The facts about the request that policies see.
      *
-     * @param roomInMs - Time until an upstream is expected to have room, if nobody else sends anything.
+     * @param headroomInMs - Milliseconds until an upstream is expected to have headroom if no other request is sent.
      */
-    facts(roomInMs: number): RequestFacts {
-        const { urgency } = this;
+    facts(headroomInMs: number): RequestFacts {
+        const { latencyBudget } = this;
         const { kind } = this.route;
         return {
             kind: kind.name,
-            workspace: this.arrival.workspace,
+            workspace: this.metadata.workspace,
             method: this.request.method ?? "GET",
-            path: this.arrival.path,
+            path: this.metadata.path,
             weight: kind.weight,
             repeatable: kind.repeatable,
             attempt: this.record.attempts.length + 1,
-            depth: this.arrival.depth,
+            depth: this.metadata.depth,
             remainingMs: this.remainingMs,
             heldMs: this.heldMs,
             ageMs: this.ageMs,
             targetMs: kind.targetLatencyMs,
-            targetLeftMs: urgency.targetLeftMs,
-            slackMs: urgency.slackMs,
+            targetLeftMs: latencyBudget.targetLeftMs,
+            slackMs: latencyBudget.slackMs,
             holdLeftMs: this.holdLeftMs,
-            ahead: this.runtime.queue.countAhead(urgency.place),
-            waitMs: Math.max(roomInMs, this.runtime.queue.expectedWaitMs(urgency.place)),
+            ahead: this.runtime.queue.countAhead(latencyBudget.queuePosition),
+            waitMs: Math.max(headroomInMs, this.runtime.queue.expectedWaitMs(latencyBudget.queuePosition)),
             usualMs: this.runtime.latencyBaselines.baselineOf(kind.name) ?? 0,
         };
     }
 
-    /** What is known after all attempts so far: unknown as soon as one of them is, or still runs. */
+    /** Combined outcome of all attempts: `ran` if one ran, else `unknown` if one is unknown or still running. */
     outcomeSoFar(): Outcome {
         const outcomes = this.record.attempts.map(attempt => attempt.outcome ?? "unknown");
         return outcomes.find(outcome => outcome === "ran") ?? outcomes.find(outcome => outcome === "unknown") ?? "not-run";
     }
 
-    /** Whether an upstream may have run it. */
+    /** Whether an upstream may have run the request. */
     get mayHaveRun(): boolean {
         return this.outcomeSoFar() !== "not-run";
     }
 
-    /** What is asked for, which its repeats have in common. */
+    /** Key of the request, equal for its repeats; computed once. */
     key(body: RequestBody): RequestKey {
-        this.knownKey ??= requestKeyOf(this.request, this.callerAddress, body);
-        return this.knownKey;
+        this.cachedKey ??= requestKeyOf(this.request, this.callerAddress, body);
+        return this.cachedKey;
     }
 
-    /** Headers of our own for the caller's answer. */
-    ownHeaders(outcome: Outcome): Record<string, string> {
+    /** Response headers with the request ID, the decision and the outcome. */
+    decisionHeaders(outcome: Outcome): Record<string, string> {
         const { attempts, configuration } = this.record;
         const last = attempts.at(-1)?.upstream ?? "none";
         const policy = this.route.policy.policy.source.name;
@@ -198,47 +198,47 @@
         return { [requestIdHeader]: this.record.id, [decisionHeader]: parts.join(", "), [outcomeHeader]: outcome };
     }
 
-    /** When the caller should come back if it is refused. */
+    /** Value for `Retry-After` if the request is rejected now. */
     get retryAfterMs(): number {
-        return returnAfterMs(this.record, this.runtime.tracker.upstreamWaits, this.services.random);
+        return rejectionRetryAfterMs(this.record, this.runtime.tracker.upstreamWaits, this.services.random);
     }
 
-    /** Gives the request its final answer at once. */
+    /** Ends the request with a problem response, and logs it. */
     giveUp(problem: Problem): void {
         const { retryAfterMs, detail, outcome } = problem;
-        const kind = truthfulKind(problem);
+        const kind = kindForOutcome(problem);
         this.record.outcome = outcome;
         this.record.problem = kind;
         const retryAfter = retryAfterMs === undefined
             ? {}
-            : { "retry-after": this.services.dialect.formatRetryAfter(retryAfterMs) };
-        this.record.status = this.answer.sendProblem({ ...problem, kind }, this.record.id, {
-            ...this.ownHeaders(outcome),
+            : { "retry-after": this.services.headerProtocol.formatRetryAfter(retryAfterMs) };
+        this.record.status = this.response.sendProblem({ ...problem, kind }, this.record.id, {
+            ...this.decisionHeaders(outcome),
             ...retryAfter,
         });
         const { id, status, steps, configuration: { generation } } = this.record;
         const ageMs = Math.round(this.ageMs);
         const decision = steps.at(-1)?.decision.action;
-        const decidedBy = toDecidedBy(steps.at(-1)?.input);
-        const { upstreamsOut } = this;
+        const decidedBy = decisionLogFields(steps.at(-1)?.input);
+        const { exclusionCounts: upstreamsOut } = this;
         const fields = { request: id, route: this.route.name, problem: kind, detail, outcome, status, retryAfterMs };
         this.services.log.write(events.requestProblem, { ...fields, ageMs, decision, decidedBy, generation, upstreamsOut });
     }
 
-    /** Gives up because the request cannot be served in time. */
+    /** Ends the request because it cannot be served in time. */
     giveUpUnderLoad(detail: string): void {
         const outcome = this.outcomeSoFar();
         this.giveUp({ kind: "overloaded", detail, outcome, retryAfterMs: this.retryAfterMs });
     }
 
-    /** Gives up because the deadline has passed; the request is settled then. */
+    /** Ends the request because its deadline has passed. */
     giveUpAtDeadline(): true {
-        const detail = `no answer within ${this.arrival.timeoutMs} ms`;
+        const detail = `no answer within ${this.metadata.timeoutMs} ms`;
         this.giveUp({ kind: "deadline", detail, outcome: this.outcomeSoFar() });
         return true;
     }
 }
 
-/** A status that promises that the request has not run is given only where that is known. */
-const truthfulKind = ({ kind, outcome }: Problem): ProblemKind =>
-    outcome !== "not-run" && problemKinds[kind].status === serviceUnavailable ? "upstream-failed" : kind;
+/** Replaces a problem with status 503 by `upstream-failed` where the request may have run. */
+const kindForOutcome = ({ kind, outcome }: Problem): ProblemKind =>
+    outcome !== "not-run" && problemKinds[kind].status === serviceUnavailableStatus ? "upstream-failed" : kind;
--- a/packages/daemon/src/request/request-services.ts
+++ b/packages/daemon/src/request/request-services.ts
@@ -1,5 +1,5 @@
 /**
- * What the daemon provides to each request.
+ * Services that the requests of an instance share.
  *
  * @packageDocumentation
  */
@@ -17,28 +17,28 @@
 import type { RequestIds } from "./request-id.js";
 import type { ReceivedNotice } from "./response-notice.js";
 
-/** Shared parts that requests use. */
+/** Shared services for requests. */
 export interface RequestServices {
     readonly clock: Clock;
     readonly random: RandomSource;
-    readonly dialect: HeaderProtocol;
+    readonly headerProtocol: HeaderProtocol;
     readonly transport: UpstreamTransport;
     readonly prober: Prober;
     readonly explanations: ExplanationStore;
     readonly crashes: CrashDetector;
     readonly requestIds: RequestIds;
     readonly bodyLimits: BodyLimits;
-    /** Largest answer that is kept back until it is whole. */
-    readonly answerBufferBytes: number;
+    /** Maximum size of a response that is buffered until it is complete. */
+    readonly responseBufferBytes: number;
     readonly log: EventLog;
-    /** Decides whether a trace that begins here is recorded. */
+    /** Decides whether a trace that starts here is sampled. */
     sampleTrace(): boolean;
-    /** Told of what an upstream asks of this instance in the head of an answer. */
+    /** Called with the notice of each response. */
     onNotice(notice: ReceivedNotice): void;
-    /** Told of each decision. */
+    /** Called after each decision. */
     onDecision(service: ServiceName, input: DecisionInput, decision: Decision): void;
-    /** Told when an attempt has ended. */
+    /** Called when an attempt has ended. */
     onAttempt(record: DecisionRecord, attempt: AttemptRecord): void;
-    /** Told when a request was answered. */
+    /** Called when a request is finished. */
     onServed(record: DecisionRecord, sampled: boolean): void;
 }
--- a/packages/daemon/src/request/request-task.ts
+++ b/packages/daemon/src/request/request-task.ts
@@ -1,5 +1,5 @@
 /**
- * The life of one request, from its arrival to its answer.
+ * Serves one request: decides, runs attempts and sends the response.
  *
  * @packageDocumentation
  */
@@ -9,49 +9,49 @@
 import type { ServiceRuntime } from "../upstream/service-runtime.js";
 import { type AttemptReport, AttemptTask } from "./attempt-task.js";
 import type { ParsedResponse } from "./header-protocol.js";
-import { allowsSecond, secondLookMs } from "./hedge.js";
+import { allowsHedge, hedgeIntervalMs } from "./hedge.js";
 import { Mailbox } from "./mailbox.js";
 import { mayRetry } from "./may-retry.js";
-import { giveUpWithheld } from "./quarantine.js";
-import { acceptBody, isItsTurn } from "./receive-body.js";
+import { rejectQuarantined } from "./quarantine.js";
+import { awaitPipelineOrder, receiveBody } from "./receive-body.js";
 import { refuse } from "./refuse.js";
 import type { RequestBody } from "./request-body.js";
 import type { RequestEvent } from "./request-event.js";
 import { holdRequest } from "./request-hold.js";
 import type { RequestProgress } from "./request-progress.js";
 import type { RequestServices } from "./request-services.js";
-import { deliver, endStream, giveUpAfterAttempt } from "./send-response.js";
-import { isPromising, RequestChoice } from "./upstream-selection.js";
+import { endStream, giveUpAfterAttempt, sendResponse } from "./send-response.js";
+import { isHedgeWorthwhile, UpstreamSelection } from "./upstream-selection.js";
 
-/** Serves one request. */
+/** Serves one request, with at most one hedged attempt beside the first. */
 export class RequestTask {
     private readonly tried: UpstreamId[] = [];
     private readonly running = new Set<AttemptTask>();
     private readonly mailbox = new Mailbox<RequestEvent>();
-    private readonly choice: RequestChoice;
-    /** The attempt whose answer is being passed on to the caller as it arrives. */
+    private readonly selection: UpstreamSelection;
+    /** The attempt whose response is being streamed to the caller. */
     private streaming: AttemptTask | undefined;
 
     /**
-     * @param services - What the daemon provides to requests.
-     * @param runtime - The state of the route's service.
-     * @param progress - The request.
+     * @param services - Shared services for requests.
+     * @param runtime - State of the route's service.
+     * @param progress - State of the request.
      */
     constructor(
         private readonly services: RequestServices,
         private readonly runtime: ServiceRuntime,
         private readonly progress: RequestProgress,
     ) {
-        this.choice = new RequestChoice(services, runtime, progress);
+        this.selection = new UpstreamSelection(services, runtime, progress);
     }
 
-    /** Serves the request to its end. */
+    /** Serves the request until a response is sent or the caller disconnects. */
     async run(): Promise<void> {
         const { progress, services } = this;
         services.explanations.begin(progress.record);
         this.runtime.retryBudget.deposit();
-        const body = await acceptBody(progress, services.bodyLimits);
-        if (body !== undefined && await isItsTurn(progress)) {
+        const body = await receiveBody(progress, services.bodyLimits);
+        if (body !== undefined && await awaitPipelineOrder(progress)) {
             await this.serve(body);
         }
         services.crashes.recordCompleted(progress.record.id, progress.mayHaveRun);
@@ -64,29 +64,29 @@
         const { clock } = this.services;
         const { progress } = this;
         const expiry = clock.after(progress.remainingMs, () => this.mailbox.post({ type: "expired" }));
-        const forgetLeaving = progress.answer.onCallerLeft(() => this.mailbox.post({ type: "caller-left" }));
-        for (let settled = false; !settled;) {
-            settled = this.running.size === 0 ? await this.next(body) : await this.handle(await this.mailbox.take(), body);
+        const removeListener = progress.response.onCallerDisconnect(() => this.mailbox.post({ type: "caller-left" }));
+        for (let finished = false; !finished;) {
+            finished = this.running.size === 0 ? await this.decideNext(body) : await this.handle(await this.mailbox.take(), body);
         }
         expiry.cancel();
-        forgetLeaving();
+        removeListener();
     }
 
-    /** Decides what comes next while no attempt runs, unless upstreams end under the request; tells whether it is settled. */
-    private async next(body: RequestBody): Promise<boolean> {
-        if (giveUpWithheld(this.progress, body, this.services.crashes)) {
+    /** Takes and executes the next decision, or rejects a quarantined request; returns whether the request is finished. */
+    private async decideNext(body: RequestBody): Promise<boolean> {
+        if (rejectQuarantined(this.progress, body, this.services.crashes)) {
             return true;
         }
-        const decision = await this.choice.decide(this.tried);
-        // What is known may have changed while upstreams were asked for their load.
-        return giveUpWithheld(this.progress, body, this.services.crashes) || await this.follow(decision, body);
+        const decision = await this.selection.decide(this.tried);
+        // The request may have been quarantined while upstreams were probed.
+        return rejectQuarantined(this.progress, body, this.services.crashes) || await this.execute(decision, body);
     }
 
-    /** Does what was decided; tells whether the request is settled. */
-    private async follow(decision: Decision, body: RequestBody): Promise<boolean> {
+    /** Executes a decision; returns whether the request is finished. */
+    private async execute(decision: Decision, body: RequestBody): Promise<boolean> {
         switch (decision.action) {
             case "choose":
-                return this.beginAttempt(decision, body);
+                return this.tryAttempt(decision, body);
             case "hold":
                 return await holdRequest(this.progress, this.runtime, this.services.clock);
             case "refuse":
@@ -99,92 +99,93 @@
         switch (event.type) {
             case "ended":
                 this.running.delete(event.report.task);
-                return this.afterAttempt(event.report, body);
-            case "slow":
-                await this.beginSecondAttempt(body);
-                this.awaitSlowness(0);
+                return this.handleAttemptEnd(event.report, body);
+            case "hedge-due":
+                await this.startHedge(body);
+                this.scheduleHedge(0);
                 return false;
             case "expired":
                 this.cancelAll("timed-out");
                 return this.streaming === undefined && this.progress.giveUpAtDeadline();
             case "caller-left":
-                return this.afterCallerLeft();
+                return this.handleCallerDisconnect();
         }
     }
 
-    /** Begins the attempt that was decided, or gives up where it makes no sense. */
-    private beginAttempt(decision: ChooseDecision, body: RequestBody): boolean {
+    /** Starts the attempt of a decision unless it is too late; returns whether the request is finished. */
+    private tryAttempt(decision: ChooseDecision, body: RequestBody): boolean {
         const { progress } = this;
-        if (progress.answer.callerLeft) {
+        if (progress.response.callerDisconnected) {
             progress.record.outcome = progress.outcomeSoFar();
             return true;
         }
         if (progress.isLate) {
             return progress.giveUpAtDeadline();
         }
-        if (this.choice.isHopeless(decision.upstream, this.tried)) {
+        if (this.selection.isDeadlineTooClose(decision.upstream, this.tried)) {
             progress.giveUpUnderLoad("too little time is left for an answer");
             return true;
         }
-        if (this.start(decision.upstream, body) && progress.heldMs > 0) {
-            // Where there was room for one there may be room for the next.
+        if (this.startAttempt(decision.upstream, body) && progress.heldMs > 0) {
+            // The upstream may have headroom for the next queued request, too.
             this.runtime.queue.recordAdmitted();
             this.runtime.queue.wake();
         }
         return false;
     }
 
-    /** Begins an attempt; tells whether its upstream was still there for one. */
-    private start(id: UpstreamId, body: RequestBody): boolean {
+    /** Starts an attempt; returns whether the upstream was still available. */
+    private startAttempt(id: UpstreamId, body: RequestBody): boolean {
         const { services, runtime, progress } = this;
         const upstream = runtime.tracker.find(id);
         if (upstream === undefined || !runtime.tracker.admits(upstream)) {
-            // It is gone, leaves, rests, takes no more now, or its zone was taken out of service since the decision.
+            // Since the decision the upstream was removed, drained, backed off, reached its limit or left service with its zone.
             return false;
         }
-        const mayStream = (reading: ParsedResponse): boolean => this.mayStream(reading, task, body);
-        const chosenBy = this.choice.factsOf(id);
-        const task: AttemptTask = new AttemptTask({ services, runtime, progress, body, upstream, chosenBy, mayStream });
+        const mayStream = (response: ParsedResponse): boolean => this.mayStream(response, task, body);
+        const selectionFacts = this.selection.factsOf(id);
+        const task: AttemptTask = new AttemptTask({ services, runtime, progress, body, upstream, selectionFacts, mayStream });
         this.tried.push(id);
         this.running.add(task);
         void task.ended.then(report => this.mailbox.post({ type: "ended", report }));
-        this.awaitSlowness();
+        this.scheduleHedge();
         return true;
     }
 
     /**
-     * Looks for a second upstream after a while.
+     * Schedules the next check whether to hedge.
      *
-     * @param sinceMs - Milliseconds since the last look, or since the request arrived.
+     * @param sinceMs - Milliseconds since the last check, or since the request arrived.
      */
-    private awaitSlowness(sinceMs = this.progress.ageMs): void {
-        const stepMs = secondLookMs(this.progress);
-        if (stepMs !== undefined && this.tried.length === 1) {
-            this.services.clock.after(stepMs - sinceMs, () => this.mailbox.post({ type: "slow" }));
+    private scheduleHedge(sinceMs = this.progress.ageMs): void {
+        const intervalMs = hedgeIntervalMs(this.progress);
+        if (intervalMs !== undefined && this.tried.length === 1) {
+            this.services.clock.after(intervalMs - sinceMs, () => this.mailbox.post({ type: "hedge-due" }));
         }
     }
 
-    private async beginSecondAttempt(body: RequestBody): Promise<void> {
+    /** Starts a second attempt at another upstream if the budget allows it and it is likely to respond sooner. */
+    private async startHedge(body: RequestBody): Promise<void> {
         const { progress, runtime, services: { crashes } } = this;
         const canBegin = (): boolean =>
-            this.running.size === 1 && this.streaming === undefined && allowsSecond(progress, body)
+            this.running.size === 1 && this.streaming === undefined && allowsHedge(progress, body)
             && crashes.allowsHedge(progress.record.id, () => progress.key(body));
-        // While others wait for room, a second attempt would take it from their first.
+        // While requests are queued, headroom goes to first attempts.
         if (!canBegin() || runtime.queue.length > 0 || !runtime.retryBudget.canWithdraw()) {
             return;
         }
-        const decision = await this.choice.decide(this.tried);
-        const isElsewhere = decision.action === "choose" && !this.tried.includes(decision.upstream);
-        if (isElsewhere && isPromising(decision) && canBegin() && runtime.retryBudget.tryWithdraw()) {
-            this.start(decision.upstream, body);
+        const decision = await this.selection.decide(this.tried);
+        const isOtherUpstream = decision.action === "choose" && !this.tried.includes(decision.upstream);
+        if (isOtherUpstream && isHedgeWorthwhile(decision) && canBegin() && runtime.retryBudget.tryWithdraw()) {
+            this.startAttempt(decision.upstream, body);
         }
     }
 
-    /** Whether an attempt may pass its answer on as it arrives; the first that may ends the others. */
-    private mayStream(reading: ParsedResponse, task: AttemptTask, body: RequestBody): boolean {
-        const isOthersTurn = this.streaming !== undefined && this.streaming !== task;
-        const willRetry = reading.retryable && mayRetry(this.progress, body, reading.outcome !== "not-run");
-        if (isOthersTurn || willRetry || !reading.forwardable) {
+    /** Decides whether an attempt may stream its response to the caller; the first one that may cancels the others. */
+    private mayStream(response: ParsedResponse, task: AttemptTask, body: RequestBody): boolean {
+        const isOtherStreaming = this.streaming !== undefined && this.streaming !== task;
+        const willRetry = response.retryable && mayRetry(this.progress, body, response.outcome !== "not-run");
+        if (isOtherStreaming || willRetry || !response.forwardable) {
             return false;
         }
         this.streaming = task;
@@ -192,52 +193,52 @@
         return true;
     }
 
-    private afterAttempt(report: AttemptReport, body: RequestBody): boolean {
+    private handleAttemptEnd(report: AttemptReport, body: RequestBody): boolean {
         const { progress } = this;
-        if (report.passedOn) {
+        if (report.isForwarded) {
             endStream(progress, report, this.services.log);
             return true;
         }
         if (this.streaming !== undefined) {
             return false;
         }
-        if (progress.answer.callerLeft) {
+        if (progress.response.callerDisconnected) {
             progress.record.outcome = progress.outcomeSoFar();
             return this.running.size === 0;
         }
-        if (report.answer !== undefined && report.reading?.retryable === false && report.reading.forwardable) {
+        if (report.buffered !== undefined && report.response?.retryable === false && report.response.forwardable) {
             this.cancelAll("cancelled");
-            deliver(progress, report);
+            sendResponse(progress, report);
             return true;
         }
         if (this.running.size > 0) {
             return false;
         }
-        return this.afterFailure(report, body);
+        return this.handleFailure(report, body);
     }
 
-    private afterFailure(report: AttemptReport, body: RequestBody): boolean {
+    private handleFailure(report: AttemptReport, body: RequestBody): boolean {
         const { progress, runtime } = this;
         const { result, outcome } = report;
         if (result.end === "timed-out" || progress.isLate) {
             return progress.giveUpAtDeadline();
         }
-        // An attempt that never reached its upstream is no further load on the service.
-        const isFree = result.end === "connect-failed" || result.end === "withdrawn";
-        if (mayRetry(progress, body, outcome !== "not-run") && (isFree || runtime.retryBudget.tryWithdraw())) {
+        // An attempt that did not reach its upstream added no load, so its retry is not counted against the budget.
+        const skipsRetryBudget = result.end === "connect-failed" || result.end === "withdrawn";
+        if (mayRetry(progress, body, outcome !== "not-run") && (skipsRetryBudget || runtime.retryBudget.tryWithdraw())) {
             return false;
         }
-        if (report.answer !== undefined && report.reading?.forwardable === true) {
+        if (report.buffered !== undefined && report.response?.forwardable === true) {
             this.cancelAll("cancelled");
-            deliver(progress, report);
+            sendResponse(progress, report);
             return true;
         }
         giveUpAfterAttempt(progress, result);
         return true;
     }
 
-    private afterCallerLeft(): boolean {
-        // What may not be repeated runs to its end, so that its outcome is known.
+    private handleCallerDisconnect(): boolean {
+        // A request that is not repeatable runs to its end so that its outcome is recorded.
         if (this.progress.route.kind.repeatable) {
             this.cancelAll("cancelled");
         }
--- a/packages/daemon/src/request/response-notice.ts
+++ b/packages/daemon/src/request/response-notice.ts
@@ -1,5 +1,5 @@
 /**
- * What an upstream tells of itself in the head of an answer and wants heeded afterwards.
+ * Notices: what an upstream announces in response headers for later requests.
  *
  * @packageDocumentation
  */
@@ -10,32 +10,32 @@
 import { noLimit, type ParsedLimit } from "./announced-limit.js";
 import { type ParsedRetryAfter, readRetryAfter } from "./retry-after.js";
 
-/** What the head of an answer asks of this instance, whichever request it answers. */
+/** Announcements in the head of a response; they apply whichever request it belongs to. */
 export interface ResponseNotice {
-    /** Whether the upstream says that it leaves. */
+    /** Whether the upstream is draining. */
     readonly draining: boolean;
-    /** Milliseconds for which it wants nothing from this instance; `undefined` where it does not ask for that. */
+    /** Milliseconds for which the upstream wants no requests from this instance; `undefined` without a backoff. */
     readonly backoffMs: number | undefined;
-    /** How much it takes from all instances together. */
+    /** Rate limit of the upstream for all instances together. */
     readonly limit: ParsedLimit;
-    /** A `Retry-After` that cannot be read; the rest of the answer holds all the same. */
+    /** Value of an invalid `Retry-After`; it does not affect the rest of the response. */
     readonly invalidRetryAfter: string | undefined;
 }
 
-/** The notice of an answer that asks for nothing. */
+/** Notice of a response without announcements. */
 export const noNotice: ResponseNotice = { draining: false, backoffMs: undefined, limit: noLimit, invalidRetryAfter: undefined };
 
-/** A notice with whom it came from. */
+/** A notice with its upstream. */
 export interface ReceivedNotice {
     readonly service: ServiceName;
     readonly upstream: UpstreamEntry;
     readonly notice: ResponseNotice;
-    /** The request that was answered so; `undefined` for a probe. */
+    /** The request of the response; `undefined` for a probe. */
     readonly request: RequestId | undefined;
 }
 
-/** Statuses by which an upstream turns a request away for its own sake; `Retry-After` then says for how long. */
-const restStatuses: ReadonlySet<number> = new Set([429, 503]);
+/** Statuses with which `Retry-After` requests a backoff. */
+const backoffStatuses: ReadonlySet<number> = new Set([429, 503]);
 
 /**
  * Reads for how long an upstream wants nothing more.
@@ -47,8 +47,8 @@
     status: number,
     headers: IncomingHttpHeaders,
 ): Pick<ResponseNotice, "backoffMs" | "invalidRetryAfter"> => {
-    const { delayMs, unreadable } = restStatuses.has(status) ? readRetryAfter(headers) : nothing;
+    const { delayMs, unreadable } = backoffStatuses.has(status) ? readRetryAfter(headers) : noRetryAfter;
     return { backoffMs: delayMs === 0 ? undefined : delayMs, invalidRetryAfter: unreadable };
 };
 
-const nothing: ParsedRetryAfter = { delayMs: undefined, unreadable: undefined };
+const noRetryAfter: ParsedRetryAfter = { delayMs: undefined, unreadable: undefined };
--- a/packages/daemon/src/request/retry-after.ts
+++ b/packages/daemon/src/request/retry-after.ts
@@ -1,38 +1,38 @@
 /**
- * Reading the header `Retry-After` (RFC 9110, section 10.2.3).
+ * Parses the header `Retry-After` (RFC 9110, section 10.2.3).
  *
  * @packageDocumentation
  */
 
 import type { IncomingHttpHeaders } from "node:http";
 
-/** What a `Retry-After` says. */
+/** Result of parsing a `Retry-After`. */
 export interface ParsedRetryAfter {
-    /** Milliseconds to wait; `undefined` where there is no such header, or none that can be read. */
+    /** Milliseconds to wait; `undefined` if the header is missing or invalid. */
     readonly delayMs: number | undefined;
-    /** The header's text where it cannot be read. */
+    /** Text of an invalid header. */
     readonly unreadable: string | undefined;
 }
 
-/** Longest delay that is taken for meant: a server that needs longer than a day is replaced rather than waited for. */
+/** Longest delay that is accepted: one day, in milliseconds. */
 const maximumDelayMs = 86_400_000;
 
 const secondMs = 1000;
 
-/** Most characters of an unreadable header that are told. */
-const maximumTold = 64;
+/** Most characters of an invalid header that are reported. */
+const maximumLoggedCharacters = 64;
 
-/** Seconds, with a fraction where the sender gives one. */
+/** Seconds, optionally with a fraction. */
 const secondsPattern = /^\d{1,9}(\.\d{1,20})?$/;
 
-/** The form in which HTTP writes dates. */
+/** The preferred date format of HTTP. */
 const datePattern = /^[A-Z][a-z]{2}, \d{2} [A-Z][a-z]{2} \d{4} \d{2}:\d{2}:\d{2} GMT$/;
 
 /**
- * Reads the header `Retry-After`.
+ * Parses the header `Retry-After`.
  *
- * @param headers - Headers of the answer; a date counts from the answer's own `Date`, so that no clock of this machine matters.
- * @returns The delay, or the text that cannot be read: a negative or endless delay, words, a date without a `Date`.
+ * @param headers - Headers of the response; a date is relative to the response's `Date`, not to the local clock.
+ * @returns The delay, or the text of an invalid header, such as a negative delay or a date without a `Date`.
  */
 export const readRetryAfter = (headers: IncomingHttpHeaders): ParsedRetryAfter => {
     const text = headers["retry-after"]?.trim();
@@ -42,7 +42,7 @@
     const delayMs = secondsPattern.test(text) ? Number(text) * secondMs : delayUntil(text, headers.date);
     return delayMs !== undefined && delayMs <= maximumDelayMs
         ? { delayMs, unreadable: undefined }
-        : { delayMs: undefined, unreadable: text.slice(0, maximumTold) };
+        : { delayMs: undefined, unreadable: text.slice(0, maximumLoggedCharacters) };
 };
 
 const delayUntil = (text: string, now: string | undefined): number | undefined => {
--- a/packages/daemon/src/request/routed-request.ts
+++ b/packages/daemon/src/request/routed-request.ts
@@ -1,5 +1,5 @@
 /**
- * A request with what routing found for it.
+ * A request with its route.
  *
  * @packageDocumentation
  */
@@ -8,14 +8,14 @@
 import type { IncomingMessage } from "node:http";
 import type { CallerResponse } from "./caller-response.js";
 
-/** One request as it was routed. */
+/** A routed request. */
 export interface RoutedRequest {
-    /** The configuration that it is served under, to its end. */
+    /** The configuration that applies to the request until it is finished. */
     readonly configuration: Configuration;
     /** The route that matched. */
     readonly route: Route;
     readonly request: IncomingMessage;
-    readonly answer: CallerResponse;
-    /** When it arrived: earlier than now where it waited for this instance to be ready. */
+    readonly response: CallerResponse;
+    /** Time of arrival; earlier than now if the request waited for this instance to become ready. */
     readonly arrivedAtMs: number;
 }
--- a/packages/daemon/src/request/send-response.ts
+++ b/packages/daemon/src/request/send-response.ts
@@ -1,5 +1,5 @@
 /**
- * Ending a request: with an upstream's answer, or with a problem of our own.
+ * Ends a request with an upstream's response or with a problem.
  *
  * @packageDocumentation
  */
@@ -10,36 +10,36 @@
 import type { AttemptReport } from "./attempt-task.js";
 import type { RequestProgress } from "./request-progress.js";
 
-/** Gives the caller an answer that was kept back until it was whole. */
-export const deliver = (progress: RequestProgress, { answer, outcome }: AttemptReport): void => {
+/** Sends a buffered response to the caller. */
+export const sendResponse = (progress: RequestProgress, { buffered, outcome }: AttemptReport): void => {
     progress.record.outcome = outcome;
-    progress.record.status = answer?.status;
-    if (answer !== undefined) {
-        progress.answer.whole(answer, progress.ownHeaders(outcome));
+    progress.record.status = buffered?.status;
+    if (buffered !== undefined) {
+        progress.response.sendBuffered(buffered, progress.decisionHeaders(outcome));
     }
 };
 
-/** Ends an answer that was passed on as it arrived, or cuts it off where it broke off. */
-export const endStream = ({ record, answer }: RequestProgress, report: AttemptReport, log: EventLog): void => {
+/** Ends a streamed response, or aborts it if it is incomplete. */
+export const endStream = ({ record, response }: RequestProgress, report: AttemptReport, log: EventLog): void => {
     record.outcome = report.outcome;
     record.status = report.result.status;
-    if (report.isWhole) {
-        answer.end();
+    if (report.isComplete) {
+        response.end();
         return;
     }
-    if (!answer.callerLeft) {
+    if (!response.callerDisconnected) {
         log.write(events.answerCutOff, { request: record.id, detail: report.result.detail });
     }
-    answer.abort();
+    response.abort();
 };
 
-/** Gives up after an attempt that no other one follows. */
+/** Ends a request with a problem after its last attempt. */
 export const giveUpAfterAttempt = (progress: RequestProgress, result: AttemptResult): void => {
     const detail = `${result.end} after ${progress.record.attempts.length} attempts: ${result.detail}`;
-    const soFar = progress.outcomeSoFar();
+    const outcomeSoFar = progress.outcomeSoFar();
     progress.giveUp(
-        soFar === "not-run"
-            ? { kind: "no-upstream", detail, outcome: soFar, retryAfterMs: progress.retryAfterMs }
-            : { kind: "upstream-failed", detail, outcome: soFar },
+        outcomeSoFar === "not-run"
+            ? { kind: "no-upstream", detail, outcome: outcomeSoFar, retryAfterMs: progress.retryAfterMs }
+            : { kind: "upstream-failed", detail, outcome: outcomeSoFar },
     );
 };
--- a/packages/daemon/src/request/upstream-selection.ts
+++ b/packages/daemon/src/request/upstream-selection.ts
@@ -1,5 +1,5 @@
 /**
- * The choice of an upstream for one request, from what is true just now.
+ * Selects an upstream for one request from the current state of its service.
  *
  * @packageDocumentation
  */
@@ -21,18 +21,18 @@
 import type { RequestProgress } from "./request-progress.js";
 import type { RequestServices } from "./request-services.js";
 
-/** Upstreams that are asked for their load at the same time, and once more before each further decision on the request. */
-const probesAtOnce = 2;
+/** Upstreams probed in parallel; also the most that are probed before a repeated decision. */
+const parallelProbes = 2;
 
-/** Takes the decisions of one request, and records them. */
-export class RequestChoice {
-    /** The upstreams that the decision being taken looks at. */
-    private considered: readonly UpstreamId[] = [];
+/** Takes the decisions of one request and adds them to its record. */
+export class UpstreamSelection {
+    /** The candidates of the current decision. */
+    private candidates: readonly UpstreamId[] = [];
 
     /**
-     * @param services - What the daemon provides to requests.
-     * @param runtime - The state of the route's service.
-     * @param progress - The request.
+     * @param services - Shared services for requests.
+     * @param runtime - State of the route's service.
+     * @param progress - State of the request.
      */
     constructor(
         private readonly services: RequestServices,
@@ -41,18 +41,18 @@
     ) {}
 
     /**
-     * Decides, after asking the likeliest upstreams where the policy wants it.
+     * Takes a decision, after probing the best candidates if the policy requires it.
      *
-     * @param tried - Upstreams that the request has tried already.
+     * @param tried - Upstreams with an earlier attempt of this request.
      */
     async decide(tried: readonly UpstreamId[]): Promise<Decision> {
         const { progress, runtime, services } = this;
-        this.considered = runtime.tracker.selectCandidates(tried, () => services.random.next());
+        this.candidates = runtime.tracker.selectCandidates(tried, () => services.random.next());
         await this.probe(tried);
         const atMs = progress.ageMs;
-        const { input, decision, isExploration: isTrial } = this.decideNow(tried);
+        const { input, decision, isExploration } = this.decideWithEstimates(tried);
         runtime.advanceSequence();
-        progress.record.steps.push({ atMs, durationMs: progress.ageMs - atMs, input, decision, isExploration: isTrial });
+        progress.record.steps.push({ atMs, durationMs: progress.ageMs - atMs, input, decision, isExploration });
         services.onDecision(runtime.name, input, decision);
         if (decision.policyFailure !== undefined) {
             services.log.write(events.policyFailed, { request: progress.record.id, ...decision.policyFailure });
@@ -60,27 +60,27 @@
         return decision;
     }
 
-    /** Decides by what is known; what would be refused finds out how fuller upstreams do, where nothing is known of that. */
-    private decideNow(tried: readonly UpstreamId[]): Pick<DecisionStep, "input" | "decision" | "isExploration"> {
+    /** Decides on the current estimates; a request that would be refused may explore upstreams beyond known utilization. */
+    private decideWithEstimates(tried: readonly UpstreamId[]): Pick<DecisionStep, "input" | "decision" | "isExploration"> {
         const { policy } = this.progress.route;
         const input = this.input(tried, false);
         const decision = decide(policy, input);
         if (decision.action !== "refuse" || !this.runtime.tracker.mayExplore) {
             return { input, decision, isExploration: false };
         }
-        const trialInput = this.input(tried, true);
-        const trial = decide(policy, trialInput);
-        return trial.action === "choose"
-            ? { input: trialInput, decision: trial, isExploration: true }
+        const explorationInput = this.input(tried, true);
+        const exploration = decide(policy, explorationInput);
+        return exploration.action === "choose"
+            ? { input: explorationInput, decision: exploration, isExploration: true }
             : { input, decision, isExploration: false };
     }
 
-    private input(tried: readonly UpstreamId[], isTrial: boolean): DecisionInput {
+    private input(tried: readonly UpstreamId[], isExploration: boolean): DecisionInput {
         const { progress, runtime, services } = this;
-        const upstreams = runtime.tracker.factsOf(this.considered, isTrial);
+        const upstreams = runtime.tracker.factsOf(this.candidates, isExploration);
         return {
             request: progress.facts(runtime.headroomInMs(upstreams, tried)),
-            service: runtime.facts(upstreams, tried, this.askable),
+            service: runtime.facts(upstreams, tried, this.probeable),
             upstreams,
             tried: [...tried],
             draws: drawNumbers(services.random),
@@ -88,16 +88,16 @@
         };
     }
 
-    /** Upstreams, of those that are looked at, that may be asked for their load now. */
-    private get askable(): number {
+    /** Number of candidates that may be probed now. */
+    private get probeable(): number {
         const { progress, services } = this;
         const { policy, service } = progress.route;
         return policy.probeCandidates === 0 || service.probePath === undefined
             ? 0
-            : this.considered.filter(id => services.prober.canProbe(id)).length;
+            : this.candidates.filter(id => services.prober.canProbe(id)).length;
     }
 
-    /** Asks the likeliest upstreams for their load, two at a time, until one is good or the patience ends. */
+    /** Probes the best candidates, two at a time, until one is known to be good or the probe timeout expires. */
     private async probe(tried: readonly UpstreamId[]): Promise<void> {
         const { progress, runtime, services } = this;
         const { policy, service } = progress.route;
@@ -105,50 +105,50 @@
             return;
         }
         const endAtMs = services.clock.nowMs() + Math.min(policy.probeTimeoutMs, progress.remainingMs);
-        const asked = new Set<string>(tried);
-        const hasGood = (): boolean =>
-            runtime.tracker.factsOf(this.considered.filter(id => !tried.includes(id))).some(isKnownGood);
-        if (runtime.queue.countAhead(progress.urgency.place) > 0) {
+        const probed = new Set<string>(tried);
+        const hasGoodCandidate = (): boolean =>
+            runtime.tracker.factsOf(this.candidates.filter(id => !tried.includes(id))).some(isKnownGood);
+        if (runtime.queue.countAhead(progress.latencyBudget.queuePosition) > 0) {
             return;
         }
-        const isAgain = tried.length > 0 || progress.heldMs > 0;
-        const most = isAgain ? probesAtOnce : policy.probeCandidates;
-        for (let left = most; left > 0 && !hasGood(); left -= probesAtOnce) {
+        const isRepeat = tried.length > 0 || progress.heldMs > 0;
+        const maximumProbes = isRepeat ? parallelProbes : policy.probeCandidates;
+        for (let left = maximumProbes; left > 0 && !hasGoodCandidate(); left -= parallelProbes) {
             const timeoutMs = endAtMs - services.clock.nowMs();
-            const upstreams = this.likeliest(asked, Math.min(probesAtOnce, left));
+            const upstreams = this.nextProbeTargets(probed, Math.min(parallelProbes, left));
             if (timeoutMs <= 0 || upstreams.length === 0) {
                 return;
             }
-            await services.prober.probe({ service, runtime, upstreams, timeoutMs, isSufficient: hasGood });
-            upstreams.forEach(({ id }) => asked.add(id));
+            await services.prober.probe({ service, runtime, upstreams, timeoutMs, isSufficient: hasGoodCandidate });
+            upstreams.forEach(({ id }) => probed.add(id));
         }
     }
 
-    /** The likeliest upstreams that were not asked yet and that the budget allows to ask. */
-    private likeliest(asked: ReadonlySet<string>, count: number): readonly UpstreamEntry[] {
+    /** Returns the best candidates that were not probed yet and that the probe budget allows. */
+    private nextProbeTargets(probed: ReadonlySet<string>, count: number): readonly UpstreamEntry[] {
         const { runtime, services } = this;
-        const askable = this.considered.filter(id => !asked.has(id) && services.prober.canProbe(id));
-        const facts = runtime.tracker.factsOf(askable);
+        const probeable = this.candidates.filter(id => !probed.has(id) && services.prober.canProbe(id));
+        const facts = runtime.tracker.factsOf(probeable);
         const ids = selectProbeTargets({ upstreams: facts, tried: [] }, count, () => services.random.next());
         return ids.flatMap(id => runtime.tracker.find(upstreamId(id)) ?? []);
     }
 
-    /** Whether a request that was held back or tried before has less time left than an answer usually takes. */
-    isHopeless(upstream: UpstreamId, tried: readonly UpstreamId[]): boolean {
+    /** Whether a request that was queued or tried before has less time left than the upstream's latency. */
+    isDeadlineTooClose(upstream: UpstreamId, tried: readonly UpstreamId[]): boolean {
         const { progress } = this;
         const isFirst = progress.heldMs === 0 && tried.length === 0;
         return !isFirst && progress.remainingMs < (this.factsOf(upstream)?.latencyMs ?? 0);
     }
 
-    /** What the last decision knew of an upstream. */
+    /** Facts about an upstream in the last decision. */
     factsOf(upstream: UpstreamId): UpstreamFacts | undefined {
         return this.progress.record.steps.at(-1)?.input.upstreams.find(candidate => candidate.id === upstream);
     }
 }
 
-/** Expected time, in times of usual work, above which a second attempt would only add to the load that made the first one slow. */
-const promisingTime = 1.6;
+/** Expected time of a hedge, as a multiple of the baseline, above which it would mainly add load. */
+const maximumHedgeTime = 1.6;
 
-/** Whether a second attempt where this decision leads is likely to help. */
-export const isPromising = ({ scores }: Decision): boolean =>
-    scores.every(score => score === undefined) || scores.some(score => score !== undefined && score < promisingTime);
+/** Whether a hedge to the selected upstream is likely to respond sooner. */
+export const isHedgeWorthwhile = ({ scores }: Decision): boolean =>
+    scores.every(score => score === undefined) || scores.some(score => score !== undefined && score < maximumHedgeTime);
