--- a/packages/daemon/src/create-directory.ts
+++ b/packages/daemon/src/create-directory.ts
@@ -1,5 +1,5 @@
 /**
- * The directory of listed upstreams of one instance.
+ * Creates the directory of an instance's discovered upstreams.
  *
  * @packageDocumentation
  */
@@ -10,13 +10,13 @@
 import { events } from "./telemetry/event.js";
 
 /**
- * Opens the directory by the platform's syntax; listings that cannot be read are logged.
+ * Creates the directory with the platform's parser; entries that cannot be parsed are logged.
  *
- * @param parts - Parts of the instance.
- * @param listeners - Who is told of changes.
+ * @param parts - Dependencies of the instance.
+ * @param listeners - Callbacks for changes.
  */
 export const createDirectory = (
-    { clock, parser: syntax, log, metrics, removalGraceMs: doubtfulMs }: Pick<
+    { clock, parser, log, metrics, removalGraceMs }: Pick<
         InstanceParts,
         "clock" | "parser" | "log" | "metrics" | "removalGraceMs"
     >,
@@ -25,8 +25,8 @@
     new UpstreamDirectory({
         ...listeners,
         clock,
-        removalGraceMs: doubtfulMs,
-        read: (id, text) => syntax.parseUpstream(id, text),
+        removalGraceMs,
+        read: (id, text) => parser.parseUpstream(id, text),
         onInvalid: (id, findings, revision) => {
             metrics.invalidEntries.inc();
             log.write(events.listingInvalid, { upstream: id, revision, findings: findings.map(formatFinding) });
--- a/packages/daemon/src/daemon-options.ts
+++ b/packages/daemon/src/daemon-options.ts
@@ -1,5 +1,5 @@
 /**
- * What a daemon is made with, and where it listens.
+ * Options and ports of a daemon.
  *
  * @packageDocumentation
  */
@@ -11,14 +11,14 @@
 import type { Metrics } from "./telemetry/metrics.js";
 import type { UpstreamTransport } from "./upstream/upstream-transport.js";
 
-/** Parts of a daemon that can be replaced. */
+/** Options of a daemon; parts that are left out get their production implementation. */
 export interface DaemonOptions {
     readonly settings: Settings;
     readonly clock?: Clock;
     readonly random?: RandomSource;
-    /** What the daemon knows of the platform it runs on. */
+    /** Integration with the platform on which the daemon runs. */
     readonly adapter?: PlatformAdapter;
-    /** Policies that every configuration may name. */
+    /** Policies that any configuration can refer to by name. */
     readonly policies?: ReadonlyMap<string, ServicePolicy>;
     readonly platform?: Platform;
     readonly transport?: UpstreamTransport;
@@ -26,7 +26,7 @@
     readonly metrics?: Metrics;
 }
 
-/** The ports on which a daemon listens; 0 for a side that it does not have. */
+/** Ports on which a daemon listens; 0 for an endpoint that is disabled. */
 export interface DaemonPorts {
     readonly callers: number;
     readonly operators: number;
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -1,5 +1,5 @@
 /**
- * The daemon: an instance with its servers and its tasks.
+ * The daemon: an instance with its servers and background tasks.
  *
  * @packageDocumentation
  */
@@ -26,11 +26,11 @@
 import type { UpstreamTransport } from "./upstream/upstream-transport.js";
 import { version } from "./version.js";
 
-/** One running daemon. */
+/** A running daemon. */
 export class Daemon {
-    /** The instance that serves. */
+    /** The instance that serves requests. */
     readonly instance: Instance;
-    /** Fulfilled when a planned stop has ended, however it was asked for. */
+    /** Fulfilled when a planned stop has completed, whatever triggered it. */
     readonly whenStopped: Promise<void>;
     private readonly settings: Settings;
     private readonly times: FleetTimes;
@@ -40,19 +40,19 @@
     private readonly metrics: Metrics;
     private readonly transport: UpstreamTransport;
     private readonly platform: PlatformLink;
-    private readonly sleepDetector: StallDetector;
+    private readonly stallDetector: StallDetector;
     private readonly callers: CallersServer;
     private readonly operators: OperatorsEndpoint;
     private readonly peers: PeerJoiner;
     private tracing: Tracing | undefined;
-    private announceStopped: () => void = () => undefined;
+    private resolveStopped: () => void = () => undefined;
     private stopped: Promise<void> | undefined;
 
-    /** @param options - Settings, and parts to replace. */
+    /** @param options - Settings and replaceable parts. */
     constructor(options: DaemonOptions) {
         const { settings } = options;
         this.whenStopped = new Promise<void>(resolve => {
-            this.announceStopped = resolve;
+            this.resolveStopped = resolve;
         });
         this.settings = settings;
         this.times = fleetTimesFor(Math.min(settings.bounds.departureMs, settings.bounds.configurationMs));
@@ -66,15 +66,15 @@
         this.platform = this.createPlatformLink(
             options.platform ?? adapter.open(platformOptions(settings, this.metrics, this.log)),
         );
-        this.sleepDetector = new StallDetector({ clock: this.clock, onStall: sleptMs => this.wakeLate(sleptMs) });
+        this.stallDetector = new StallDetector({ clock: this.clock, onStall: stallMs => this.resumeAfterStall(stallMs) });
         this.callers = this.createCallersServer();
-        this.operators = this.createOperatorsSide();
+        this.operators = this.createOperatorsEndpoint();
         this.peers = this.createPeerJoiner();
     }
 
-    /** Begins to listen, to talk to other instances and to follow the platform. */
+    /** Starts listening, exchanging state with other instances and watching the platform. */
     async start(): Promise<DaemonPorts> {
-        // Callers first, then what has to be known to serve them: after a loss of power they are waiting already.
+        // Callers may already be connecting, for example after a power failure, so their port opens first.
         const callers = await this.callers.listen();
         this.platform.start();
         const ports = {
@@ -89,29 +89,29 @@
             this.log.write(events.plainOperators, { address: this.settings.operators.address });
         }
         await this.openTracing();
-        this.sleepDetector.start();
+        this.stallDetector.start();
         void this.instance.contactPeers().then(() => this.log.write(events.serving));
         return ports;
     }
 
-    /** Takes over changed settings: seeds of the fleet now, everything else at the next start. */
+    /** Applies changed settings: gossip seeds take effect now, everything else at the next start. */
     reload(settings: Settings): void {
         this.peers.reload(settings.peers);
         this.log.write(events.settingsReloaded, { seeds: settings.peers?.seeds });
     }
 
-    /** Tells of changed settings that cannot be used. */
+    /** Logs that changed settings are invalid and were not applied. */
     reloadFailed(error: Error): void {
         this.log.write(events.settingsInvalid, { error });
     }
 
-    /** Stops as planned: nothing in flight is cut off within the settled time. */
+    /** Stops gracefully: requests in flight may finish within the configured timeout. */
     stop(): Promise<void> {
         this.stopped ??= this.runStop();
         return this.stopped;
     }
 
-    /** The metrics as they are scraped. */
+    /** Metrics in the Prometheus text format. */
     metricsText(): Promise<string> {
         return this.operators.metricsText();
     }
@@ -125,23 +125,23 @@
         await sleep(this.clock, stopDelayMs);
         this.log.write(events.callersClosed, { inFlight: this.callers.inFlight });
         const closed = new AbortController();
-        const cutOff = await this.callers.close(sleep(this.clock, stopTimeoutMs, closed.signal));
+        const abortedRequests = await this.callers.close(sleep(this.clock, stopTimeoutMs, closed.signal));
         closed.abort();
-        if (cutOff > 0) {
-            this.log.write(events.stopCutOff, { requests: cutOff });
+        if (abortedRequests > 0) {
+            this.log.write(events.stopCutOff, { requests: abortedRequests });
         }
-        this.sleepDetector.stop();
+        this.stallDetector.stop();
         this.platform.stop();
         await this.transport.close();
         await this.tracing?.close();
         await Promise.all([this.operators.close(), this.peers.close()]);
         this.log.write(events.stopped);
-        this.announceStopped();
+        this.resolveStopped();
     }
 
-    private wakeLate(sleptMs: number): void {
+    private resumeAfterStall(stallMs: number): void {
         this.platform.recordStall();
-        this.instance.resumeAfterStall(sleptMs);
+        this.instance.resumeAfterStall(stallMs);
     }
 
     private createInstance(adapter: PlatformAdapter, policies: ReadonlyMap<string, ServicePolicy>): Instance {
@@ -175,21 +175,21 @@
             times: this.times,
             willJoin: () => this.peers.willJoin,
             hasCallers: () => this.callers.hasServed,
-            checkForStall: () => this.sleepDetector.check(),
+            checkForStall: () => this.stallDetector.check(),
         });
     }
 
     private createCallersServer(): CallersServer {
         return new CallersServer({
             settings: this.settings.callers,
-            handler: (request, answer) => {
-                this.sleepDetector.check();
-                return this.instance.serve(request, answer);
+            handler: (request, response) => {
+                this.stallDetector.check();
+                return this.instance.serve(request, response);
             },
         });
     }
 
-    private createOperatorsSide(): OperatorsEndpoint {
+    private createOperatorsEndpoint(): OperatorsEndpoint {
         return new OperatorsEndpoint({
             settings: this.settings,
             metrics: this.metrics,
--- a/packages/daemon/src/instance-assignments.ts
+++ b/packages/daemon/src/instance-assignments.ts
@@ -1,5 +1,5 @@
 /**
- * What this instance may do because it is chosen among all; one that is no part of a fleet does everything itself.
+ * Tasks of the fleet that are assigned to this instance; a standalone instance performs all of them.
  *
  * @packageDocumentation
  */
@@ -10,32 +10,32 @@
 
 /** Options of {@link InstanceAssignments}. */
 export interface InstanceAssignmentsOptions {
-    /** Whether it belongs to no fleet. */
+    /** Whether the instance is standalone, that is, not part of a fleet. */
     readonly isAlone: boolean;
-    /** Who is chosen in its fleet; `undefined` before it has joined. */
-    readonly assignment: () => MemberAssignment | undefined;
+    /** Assignments within the fleet; `undefined` until the instance has joined it. */
+    readonly ofFleet: () => MemberAssignment | undefined;
 }
 
-/** Tells what this instance is chosen for. */
+/** Determines which shared tasks this instance performs. */
 export class InstanceAssignments {
-    /** @param options - Its fleet. */
+    /** @param options - Assignments of the fleet. */
     constructor(private readonly options: InstanceAssignmentsOptions) {}
 
-    /** How many instances share a cold upstream; 0 where this one is none of them. */
+    /** Number of instances that share a cold upstream; 0 if this instance is not one of them. */
     participantsOf(upstream: UpstreamId): number {
-        return this.options.isAlone ? 1 : this.options.assignment()?.participantsOf(upstream) ?? 0;
+        return this.options.isAlone ? 1 : this.options.ofFleet()?.participantsOf(upstream) ?? 0;
     }
 
-    /** This instance's share of what an upstream takes; it sends nothing before it knows others. */
-    limitShareOf(upstream: UpstreamId, wanted: number): LimitShare {
-        const { isAlone, assignment: chosen } = this.options;
+    /** This instance's share of an upstream's rate limit; it is no participant until it has joined the fleet. */
+    limitShareOf(upstream: UpstreamId, participants: number): LimitShare {
+        const { isAlone, ofFleet } = this.options;
         return isAlone
             ? fullShare
-            : chosen()?.limitShare(upstream, wanted) ?? { isParticipant: false, participants: wanted, members: wanted };
+            : ofFleet()?.limitShare(upstream, participants) ?? { isParticipant: false, participants, members: participants };
     }
 
-    /** Whether this instance is to try what is withheld. */
-    isTrialOwner(pattern: RequestSignature): boolean {
-        return this.options.isAlone || this.options.assignment()?.isTrialOwner(pattern) === true;
+    /** Whether this instance sends the trial request for a quarantined signature. */
+    isTrialOwner(signature: RequestSignature): boolean {
+        return this.options.isAlone || this.options.ofFleet()?.isTrialOwner(signature) === true;
     }
 }
--- a/packages/daemon/src/instance-parts.ts
+++ b/packages/daemon/src/instance-parts.ts
@@ -1,5 +1,5 @@
 /**
- * What an instance is made of.
+ * Dependencies of an instance.
  *
  * @packageDocumentation
  */
@@ -14,7 +14,7 @@
 import type { RegistryUpdate } from "./upstream/service-registry.js";
 import type { UpstreamTransport } from "./upstream/upstream-transport.js";
 
-/** Parts that an instance is made of; each can be replaced in tests. */
+/** Dependencies of an instance; tests replace them. */
 export interface InstanceParts {
     readonly settings: Settings;
     readonly clock: Clock;
@@ -24,10 +24,10 @@
     readonly parser: DocumentParser;
     readonly log: EventLog;
     readonly metrics: Metrics;
-    /** Milliseconds for which removals that the platform tells are doubtful. */
+    /** Milliseconds for which removals published by the platform remain unconfirmed. */
     readonly removalGraceMs: () => number;
-    /** Told when another configuration came into force. */
+    /** Called when another configuration has become active. */
     readonly onConfigured?: (update: RegistryUpdate) => void;
-    /** Takes the record of each request that is traced. */
+    /** Receives the decision record of each traced request. */
     readonly onTraced?: (record: DecisionRecord) => void;
 }
--- a/packages/daemon/src/instance-times.ts
+++ b/packages/daemon/src/instance-times.ts
@@ -1,14 +1,14 @@
 /**
- * Times of an instance that starts or wakes.
+ * Timeouts for an instance that starts or recovers from a stall.
  *
  * @packageDocumentation
  */
 
-/** When a caller should come back that met an instance without a configuration. */
+/** Retry-After for requests that arrive before the first configuration, in milliseconds. */
 export const notReadyRetryAfterMs = 1000;
 
-/** Sleep after which the configuration is asked for again before the next request. */
+/** Stall after which state is refreshed before the next request is served, in milliseconds. */
 export const minimumRefreshStallMs = 1000;
 
-/** Longest time for which requests wait for that. */
+/** Longest time for which requests wait for that refresh, in milliseconds. */
 export const refreshTimeoutMs = 300;
--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -1,5 +1,5 @@
 /**
- * The state of this instance: what it serves, under which configuration.
+ * The state of this instance and the entry point for its requests.
  *
  * @packageDocumentation
  */
@@ -28,43 +28,43 @@
 import { ProbeBudget } from "./upstream/probe-budget.js";
 import { type RegistryUpdate, type ServiceRegistry, toTargets } from "./upstream/service-registry.js";
 
-/** Stage of an instance's life. */
+/** Stage in an instance's lifecycle. */
 export type InstanceStage = "starting" | "serving" | "stopping";
 
-/** Serves requests by the configuration in force. */
+/** Serves requests according to the active configuration. */
 export class Instance {
     readonly id: InstanceId;
     readonly incarnation: number;
     readonly explanations: ExplanationStore;
-    /** Which requests are withheld, and why. */
+    /** Detects requests that crash upstreams, and quarantines them. */
     readonly crashes: CrashDetector;
     readonly services: ServiceRegistry;
-    /** How much upstreams say that they take. */
+    /** Rate limits that upstreams have announced. */
     readonly limits: UpstreamLimits;
     readonly activeConfiguration: ActiveConfiguration;
     readonly directory: UpstreamDirectory;
-    /** This instance's part in the fleet; `undefined` while it works alone. */
+    /** This instance's membership in the fleet; `undefined` while it is standalone. */
     fleet: Fleet | undefined;
-    private readonly firstRead: StartupGate;
+    private readonly startupGate: StartupGate;
     private readonly probeBudget: ProbeBudget;
     private readonly telemetry: Telemetry;
-    private readonly entry: RequestDispatcher;
-    private hasHeardOthers = false;
-    private hearing = false;
-    private readonly refresh: StallRecovery;
+    private readonly requestDispatcher: RequestDispatcher;
+    private hasContactedPeers = false;
+    private isGossipSuppressed = false;
+    private readonly stallRecovery: StallRecovery;
     private stopping = false;
 
-    /** @param parts - What the instance is made of. */
+    /** @param parts - Dependencies of the instance. */
     constructor(private readonly parts: InstanceParts) {
-        const { settings, clock, random, parser: syntax } = parts;
+        const { settings, clock, random, parser } = parts;
         this.telemetry = new Telemetry(parts.log, parts.metrics);
         this.id = instanceId(settings.instance.id);
         this.incarnation = Math.floor(clock.wallMs());
-        this.firstRead = new StartupGate(clock);
-        this.refresh = new StallRecovery({ log: parts.log, transport: parts.transport, fleet: () => this.fleet });
-        this.activeConfiguration = new ActiveConfiguration((source, text) => syntax.parseConfiguration(source, text));
+        this.startupGate = new StartupGate(clock);
+        this.stallRecovery = new StallRecovery({ log: parts.log, transport: parts.transport, fleet: () => this.fleet });
+        this.activeConfiguration = new ActiveConfiguration((source, text) => parser.parseConfiguration(source, text));
         this.directory = createDirectory(parts, {
-            onChange: change => this.tellListing(change),
+            onChange: change => this.logEntryChange(change),
             onZoneChange: change => this.telemetry.zoneChanged(change),
             onRemovalConfirmed: () => this.updateServices(),
         });
@@ -72,26 +72,23 @@
             maximumEntries: settings.limits.recordEntries,
             maximumBytes: settings.limits.recordBytes,
         });
-        const duties = new InstanceAssignments({
-            isAlone: settings.peers === undefined,
-            assignment: () => this.fleet?.assignment,
-        });
+        const tasks = new InstanceAssignments({ isAlone: settings.peers === undefined, ofFleet: () => this.fleet?.assignment });
         this.crashes = new CrashDetector({
             clock,
             log: parts.log,
             metrics: parts.metrics,
             onChange: () => this.fleet?.gossipNow(),
-            isTrialOwner: pattern => duties.isTrialOwner(pattern),
+            isTrialOwner: signature => tasks.isTrialOwner(signature),
         });
         ({ services: this.services, limits: this.limits } = createServiceRegistry({
             parts,
             instance: this.id,
-            assignments: duties,
+            assignments: tasks,
             telemetry: this.telemetry,
             onUrgentNotice: () => this.fleet?.gossipNow(),
             onStateChange: change => {
                 this.telemetry.stateChanged(change);
-                if (change.after.state === "draining" && !this.hearing) {
+                if (change.after.state === "draining" && !this.isGossipSuppressed) {
                     this.fleet?.announceDraining(change.upstream, change.startedAtMs);
                 }
             },
@@ -107,7 +104,7 @@
             telemetry: this.telemetry,
         });
         const { activeConfiguration: accepted, services: registry, telemetry } = this;
-        this.entry = new RequestDispatcher({
+        this.requestDispatcher = new RequestDispatcher({
             services,
             accepted,
             registry,
@@ -116,99 +113,94 @@
         });
     }
 
-    /** Stage of the instance's life. */
     get stage(): InstanceStage {
         if (this.stopping) {
             return "stopping";
         }
-        return this.activeConfiguration.current === undefined || !this.hasHeardOthers ? "starting" : "serving";
+        return this.activeConfiguration.current === undefined || !this.hasContactedPeers ? "starting" : "serving";
     }
 
-    /**
-     * Hears other instances before serving, so that this one does not serve
-     * under an older configuration than theirs; in the end it serves alone.
-     */
+    /** Contacts other instances to adopt a newer configuration before serving; serves alone if none responds in time. */
     async contactPeers(): Promise<void> {
         const hearTimeoutMs = this.parts.settings.peers?.hearTimeoutMs ?? 0;
         if (hearTimeoutMs > 0 && await this.fleet?.contactPeers(hearTimeoutMs) === false) {
             this.parts.log.write(events.heardNobody, { hearTimeoutMs });
         }
-        this.hasHeardOthers = true;
+        this.hasContactedPeers = true;
     }
 
-    /** Refreshes what time made doubtful after this process slept; requests wait for it, for a short while. */
-    resumeAfterStall(sleptMs: number): void {
-        this.refresh.start(sleptMs);
+    /** Refreshes state that became outdated during a stall; requests wait briefly for the refresh. */
+    resumeAfterStall(stallMs: number): void {
+        this.stallRecovery.start(stallMs);
     }
 
-    /** The configuration in force. */
+    /** The active configuration; `undefined` before the first. */
     get configuration() {
         return this.activeConfiguration.current?.configuration;
     }
 
-    /** The generation in force; `undefined` before the first. */
+    /** Generation of the active configuration; `undefined` before the first. */
     get generation(): Generation | undefined {
         return this.configuration?.generation;
     }
 
-    /** Ends readiness for good. */
+    /** Ends readiness permanently. */
     beginStop(): void {
         this.stopping = true;
     }
 
     /** Serves one request; never rejects. */
-    async serve(request: IncomingMessage, answer: CallerResponse): Promise<void> {
+    async serve(request: IncomingMessage, response: CallerResponse): Promise<void> {
         try {
             const arrivedAtMs = this.parts.clock.nowMs();
-            await this.refresh.done;
+            await this.stallRecovery.done;
             if (this.configuration === undefined) {
-                await this.firstRead.wait();
+                await this.startupGate.wait();
             }
-            await this.entry.serve({ request, response: answer, arrivedAtMs, hasContactedPeers: this.hasHeardOthers });
+            await this.requestDispatcher.serve({ request, response, arrivedAtMs, hasContactedPeers: this.hasContactedPeers });
         }
         catch (thrown) {
             this.parts.log.write(events.requestFailed, { error: thrown });
-            const begun = answer.headersSent;
-            answer.sendProblem({ kind: "internal", detail: "unexpected error, see the log", outcome: "unknown" }, undefined);
-            if (begun) {
-                answer.abort();
+            const hasStarted = response.headersSent;
+            response.sendProblem({ kind: "internal", detail: "unexpected error, see the log", outcome: "unknown" }, undefined);
+            if (hasStarted) {
+                response.abort();
             }
         }
     }
 
-    /** Takes what the platform told. */
-    applyPublication({ configuration, listings, zones, revision }: Publication, isWhole: boolean): void {
+    /** Applies a publication of the platform. */
+    applyPublication({ configuration, listings, zones, revision }: Publication, isSnapshot: boolean): void {
         const before = this.directory.revision;
-        this.directory.merge({ revision, isSnapshot: isWhole, entries: listings, zones });
-        const offered = configuration === undefined ? undefined : this.applyConfiguration("platform", configuration);
-        if (listings.length > 0 || zones.length > 0 || isWhole) {
+        this.directory.merge({ revision, isSnapshot, entries: listings, zones });
+        const result = configuration === undefined ? undefined : this.applyConfiguration("platform", configuration);
+        if (listings.length > 0 || zones.length > 0 || isSnapshot) {
             this.updateServices();
         }
-        if (before !== this.directory.revision || offered?.type === "accepted") {
+        if (before !== this.directory.revision || result?.type === "accepted") {
             this.fleet?.gossipPlatformUpdate();
         }
         if (before === 0) {
             this.telemetry.directoryRead(this.directory);
         }
-        this.firstRead.open();
+        this.startupGate.open();
     }
 
-    /** The first read is told as a whole. */
-    private tellListing(change: DirectoryChange): void {
+    /** Logs a changed entry; the entries of the first snapshot are logged together. */
+    private logEntryChange(change: DirectoryChange): void {
         if (this.directory.revision > 0) {
             this.telemetry.entryChanged(change);
         }
     }
 
-    /** Notes that the platform failed: requests need not wait for what it would tell. */
+    /** Called when the platform failed: requests stop waiting for its first response. */
     recordPlatformFailure(): void {
-        this.firstRead.open();
+        this.startupGate.open();
     }
 
     /**
-     * Offers a configuration document from any source.
-     *
-     * @param source - Where it comes from, for events and findings.
+     * Validates a configuration document and activates it if it is newer.
+     * @param source - Where the document comes from, for log events and findings.
      * @param text - The document.
      */
     applyConfiguration(source: string, text: string): ApplyResult {
@@ -221,14 +213,14 @@
         return result;
     }
 
-    /** Takes in what another instance learned of an upstream. */
+    /** Applies a gossiped message that an upstream is draining. */
     applyDrainMessage({ upstream, startedAtMs, atMs }: DrainMessage): void {
-        this.hearing = true;
+        this.isGossipSuppressed = true;
         this.services.recordDraining(upstreamId(upstream), startedAtMs, atMs);
-        this.hearing = false;
+        this.isGossipSuppressed = false;
     }
 
-    /** Brings services, connections and budgets up to date with the configuration and the listings. */
+    /** Updates services, connections and budgets from the active configuration and the directory. */
     updateServices(): void {
         const { configuration } = this;
         if (configuration === undefined) {
@@ -237,22 +229,22 @@
         const update: RegistryUpdate = { configuration, discovered: this.directory.upstreamsInService };
         const targets = toTargets(update);
         this.parts.transport.configure(targets);
-        // Everyone reads of a listed upstream's leaving itself: told by each, it would go round the fleet many times.
-        this.hearing = true;
+        // Every instance sees draining entries in the directory itself, so they are not gossiped.
+        this.isGossipSuppressed = true;
         this.services.configure(update);
-        this.hearing = false;
+        this.isGossipSuppressed = false;
         this.updateBudgets();
         this.probeBudget.retain(new Set(targets.map(target => target.upstream.id)));
         this.parts.onConfigured?.(update);
     }
 
-    /** Brings this instance's shares of the fleet's budgets up to date. */
+    /** Recomputes this instance's shares of the fleet's budgets. */
     updateBudgets(): void {
         const { configuration, fleet } = this;
         if (configuration !== undefined) {
-            const shares = divideBudgets(configuration, this.parts.settings.budgets, fleet?.members.possibleSize);
-            this.services.applyBudgets(shares);
-            this.probeBudget.configure(shares.probesPerSecond);
+            const budgets = divideBudgets(configuration, this.parts.settings.budgets, fleet?.members.possibleSize);
+            this.services.applyBudgets(budgets);
+            this.probeBudget.configure(budgets.probesPerSecond);
         }
     }
 }
--- a/packages/daemon/src/listen.ts
+++ b/packages/daemon/src/listen.ts
@@ -1,5 +1,5 @@
 /**
- * Beginning to listen.
+ * Starts servers.
  *
  * @packageDocumentation
  */
@@ -7,12 +7,12 @@
 import type { AddressInfo, Server } from "node:net";
 
 /**
- * Lets a server listen.
+ * Starts listening.
  *
  * @param server - The server.
- * @param place - Address and port; port 0 takes a free one.
+ * @param endpoint - Address and port; port 0 selects a free one.
  * @returns The port.
- * @throws The system's error when the address cannot be taken.
+ * @throws The system's error if the address is unavailable.
  */
 export const listenOn = async (
     server: Server,
--- a/packages/daemon/src/operators/explanation-message.ts
+++ b/packages/daemon/src/operators/explanation-message.ts
@@ -1,5 +1,5 @@
 /**
- * Turning a decision record into the message that explains it.
+ * Converts a decision record to an explanation message.
  *
  * @packageDocumentation
  */
@@ -24,7 +24,7 @@
 } from "@harrierhitch/protocol";
 import type { AttemptRecord, DecisionRecord, DecisionStep } from "../request/decision-record.js";
 
-/** Explains a record. */
+/** Converts a decision record to an `Explanation`. */
 export const toExplanation = (record: DecisionRecord): Explanation =>
     create(ExplanationSchema, {
         requestId: record.id,
@@ -43,7 +43,7 @@
         problem: record.problem ?? "",
     });
 
-/** Tells the facts of one upstream, with what a decision made of it. */
+/** Converts the facts of an upstream, and the result of a decision for it, to a `Candidate`. */
 export const toCandidate = (facts: UpstreamFacts, excluded?: Exclusion, score?: number): Candidate =>
     create(CandidateSchema, {
         ...facts,
@@ -68,7 +68,7 @@
     });
 };
 
-const toStep = ({ atMs, input, decision, isExploration: isTrial }: DecisionStep): Step =>
+const toStep = ({ atMs, input, decision, isExploration }: DecisionStep): Step =>
     create(StepSchema, {
         atMs,
         request: create(RequestSchema, input.request),
@@ -78,7 +78,7 @@
         draws: [...input.draws],
         turn: input.sequence,
         action: decision.action,
-        isTrial,
+        isTrial: isExploration,
         ...actionFields(decision),
         failedClause: decision.policyFailure?.clause ?? "",
         failureDetail: decision.policyFailure?.detail ?? "",
--- a/packages/daemon/src/operators/explanation-store.ts
+++ b/packages/daemon/src/operators/explanation-store.ts
@@ -1,5 +1,5 @@
 /**
- * The bounded store of decision records.
+ * Bounded store of decision records.
  *
  * @packageDocumentation
  */
@@ -13,39 +13,39 @@
     readonly maximumBytes: number;
 }
 
-/** Sizes of a decision and of each of its candidates on the heap, as `npm run bench` measured them. */
+/** Estimated heap size of a decision step and of each of its candidates. */
 const stepBytes = 540;
 const candidateBytes = 250;
 
-/** Sizes of the rest of a record; estimated, not measured. */
+/** Estimated heap size of the rest of a record. */
 const recordBytes = 700;
 const attemptBytes = 250;
 
-/** Estimates the memory that a record takes. */
+/** Estimates the memory that a record occupies, in bytes. */
 export const estimateBytes = (record: DecisionRecord): number => {
     const candidates = record.steps.reduce((sum, step) => sum + step.input.upstreams.length, 0);
     return recordBytes + stepBytes * record.steps.length + candidateBytes * candidates
         + attemptBytes * record.attempts.length;
 };
 
-/** Keeps the newest records, within a number of entries and of bytes. */
+/** Stores the newest records within limits on entries and bytes. */
 export class ExplanationStore {
     private readonly finished = new Map<RequestId, { readonly record: DecisionRecord; readonly bytes: number; }>();
-    /** Ids of finished records in a ring; a map's own order grows slow to read once its oldest entries are gone. */
+    /** Ring buffer of the ids of finished records; finding the oldest key of a map is slow after many deletions. */
     private readonly order: RequestId[] = [];
     private oldest = 0;
     private readonly inFlight = new Map<RequestId, DecisionRecord>();
     private totalBytes = 0;
 
-    /** @param options - Bounds. */
+    /** @param options - Limits. */
     constructor(private readonly options: ExplanationStoreOptions) {}
 
-    /** Takes the record of a request that has just arrived. */
+    /** Adds the record of a request that has just arrived. */
     begin(record: DecisionRecord): void {
         this.inFlight.set(record.id, record);
     }
 
-    /** Notes that a request was answered; older records make room. */
+    /** Marks a record as finished and evicts the oldest ones beyond the limits. */
     finish(record: DecisionRecord): void {
         this.inFlight.delete(record.id);
         const bytes = estimateBytes(record);
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Finds a record. */
+    /** Returns a record by its request's id. */
     find(id: RequestId): DecisionRecord | undefined {
         return this.inFlight.get(id) ?? this.finished.get(id)?.record;
     }
@@ -67,7 +67,7 @@
         return this.finished.size;
     }
 
-    /** Estimated memory of the finished records. */
+    /** Estimated memory of the finished records, in bytes. */
     get bytes(): number {
         return this.totalBytes;
     }
--- a/packages/daemon/src/operators/http-server.ts
+++ b/packages/daemon/src/operators/http-server.ts
@@ -22,7 +22,7 @@
         this.server = createServer(options.handler);
     }
 
-    /** Begins to listen; gives the port. */
+    /** Starts listening and returns the port. */
     listen(): Promise<number> {
         return listenOn(this.server, this.options.settings);
     }
--- a/packages/daemon/src/operators/operator-service.ts
+++ b/packages/daemon/src/operators/operator-service.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' service of one instance.
+ * Implements the operators' RPC service.
  *
  * @packageDocumentation
  */
@@ -31,41 +31,43 @@
 export interface OperatorServiceOptions {
     readonly instance: Instance;
     readonly clock: Clock;
-    /** Clients of other instances; `undefined` for an instance that works alone. */
+    /** Clients of other instances; `undefined` for a standalone instance. */
     readonly clients: PeerClients | undefined;
     readonly availabilityZone: string;
     readonly requestsInFlight: () => number;
-    /** Milliseconds since the platform last answered; negative if it never did. */
+    /** Milliseconds since the platform's last response; negative if there was none. */
     readonly platformAgeMs: () => number;
-    /** Begins a planned stop; gives the milliseconds until the callers' port closes. */
+    /** Starts a planned stop and returns the milliseconds until the callers' port closes. */
     readonly drain: () => number;
 }
 
-/** Longest time for asking another instance. */
+/** Timeout of calls to other instances, in milliseconds. */
 const peerTimeoutMs = 1000;
 
-/** Implements the operators' service. */
+/** Creates the operators' service. */
 export const operatorService = (options: OperatorServiceOptions): ServiceImpl<typeof OperatorService> => ({
     explain: async request => {
         const explanation = explainLocally(options.instance, request.requestId);
         return explanation === undefined && !request.localOnly
-            ? await explainElsewhere(options, request.requestId)
+            ? await explainRemotely(options, request.requestId)
             : create(ExplainResponseSchema, {
                 explanation: explanation ?? notFound(options, request.requestId),
                 instance: options.instance.id,
             });
     },
     getStatus: async request => {
-        const others = request.localOnly ? [] : await statusOfOthers(options);
+        const peerStatuses = request.localOnly ? [] : await fetchPeerStatuses(options);
         return create(GetStatusResponseSchema, {
-            instances: [toStatus(options), ...others.flatMap(other => other.status ?? [])],
-            unreachable: others.filter(other => other.status === undefined).map(other => other.instance),
+            instances: [toStatus(options), ...peerStatuses.flatMap(peerStatus => peerStatus.status ?? [])],
+            unreachable: peerStatuses.filter(peerStatus => peerStatus.status === undefined).map(peerStatus =>
+                peerStatus.instance
+            ),
         });
     },
     drain: () => ({ closesInMs: options.drain() }),
 });
 
-/** Explains a request that this instance decided; `undefined` without a record. */
+/** Explains a request that this instance decided; `undefined` if there is no record of it. */
 export const explainLocally = (instance: Instance, id: string): Explanation | undefined => {
     const record = instance.explanations.find(requestId(id));
     return record && toExplanation(record);
@@ -75,10 +77,10 @@
     throw new ConnectError(`instance ${instance.id} has no record of ${id}`, Code.NotFound);
 };
 
-/** What is left of an explanation when the instance that decided is gone. */
-const whatSurvives = "; what survives is the header x-harrierhitch-decision of the answer and the trace";
+/** What remains available when the deciding instance has left the fleet. */
+const remainingSources = "; what survives is the header x-harrierhitch-decision of the answer and the trace";
 
-const explainElsewhere = async (options: OperatorServiceOptions, id: string): Promise<ExplainResponse> => {
+const explainRemotely = async (options: OperatorServiceOptions, id: string): Promise<ExplainResponse> => {
     const decider = instanceOf(requestId(id));
     const { clients, clock } = options;
     const peer = options.instance.fleet?.members.others.find(member => member.instance === decider);
@@ -94,19 +96,19 @@
         return create(ExplainResponseSchema, { explanation: explanation ?? notFound(options, id), instance: decider });
     }
     catch (thrown) {
-        const isKnownGap = thrown instanceof ConnectError && thrown.code === Code.NotFound;
-        const reason = isKnownGap ? "has no record of it any more" : "does not answer or is gone";
-        throw new ConnectError(`instance ${decider}, which decided ${id}, ${reason}${whatSurvives}`, Code.NotFound);
+        const isRecordMissing = thrown instanceof ConnectError && thrown.code === Code.NotFound;
+        const reason = isRecordMissing ? "has no record of it any more" : "does not answer or is gone";
+        throw new ConnectError(`instance ${decider}, which decided ${id}, ${reason}${remainingSources}`, Code.NotFound);
     }
 };
 
-interface OtherStatus {
+interface PeerStatus {
     readonly instance: string;
     readonly status: InstanceStatus | undefined;
 }
 
-const statusOfOthers = ({ instance, clock, clients }: OperatorServiceOptions): Promise<readonly OtherStatus[]> =>
-    Promise.all((instance.fleet?.members.others ?? []).map(async (member): Promise<OtherStatus> => {
+const fetchPeerStatuses = ({ instance, clock, clients }: OperatorServiceOptions): Promise<readonly PeerStatus[]> =>
+    Promise.all((instance.fleet?.members.others ?? []).map(async (member): Promise<PeerStatus> => {
         if (clients === undefined) {
             return { instance: member.instance, status: undefined };
         }
@@ -123,7 +125,7 @@
         }
     }));
 
-/** Tells the state of this instance. */
+/** Returns the status of this instance. */
 export const toStatus = (
     { instance, availabilityZone, requestsInFlight, platformAgeMs }: OperatorServiceOptions,
 ): InstanceStatus =>
@@ -148,29 +150,34 @@
         create(UpstreamStatusSchema, {
             service: runtime.name,
             facts: toCandidate(facts),
-            why: whyOf(facts, limitOf(instance, runtime, facts)),
+            why: describeState(facts, limitOf(instance, runtime, facts)),
         })
     );
 
-const limitOf = ({ limits }: Instance, { tracker: beliefs }: ServiceRuntime, { id }: UpstreamFacts): StoredLimit | undefined => {
-    const upstream = beliefs.find(upstreamId(id));
+const limitOf = ({ limits }: Instance, { tracker }: ServiceRuntime, { id }: UpstreamFacts): StoredLimit | undefined => {
+    const upstream = tracker.find(upstreamId(id));
     return upstream === undefined ? undefined : limits.find(upstream);
 };
 
-/** Says in a few words why an upstream is in its state. */
-const whyOf = (facts: UpstreamFacts, limit: StoredLimit | undefined): string => {
-    const resting = facts.restMs > 0 && facts.state !== "draining"
+/** Describes why an upstream is in its state. */
+const describeState = (facts: UpstreamFacts, limit: StoredLimit | undefined): string => {
+    const backoff = facts.restMs > 0 && facts.state !== "draining"
         ? [`asked this instance for a rest, ${Math.ceil(facts.restMs)} ms are left`]
         : [];
-    return [...resting, ...limit === undefined ? [] : [limitText(facts, limit)], whyInState(facts)].filter(Boolean).join("; ");
+    return [...backoff, ...limit === undefined ? [] : [describeLimit(facts, limit)], stateReason(facts)].filter(Boolean).join(
+        "; ",
+    );
 };
 
-/** Says to what an upstream is limited, by whose word and since when, and what of it is left to this instance. */
-const limitText = ({ shareGapMs, shareInMs }: UpstreamFacts, { perSecond, heardBy, sinceUnixMs }: StoredLimit): string =>
-    `takes ${perSecond} a second from all instances, by its word to ${heardBy}, since ${new Date(sinceUnixMs).toISOString()}; `
+/** Describes an upstream's rate limit, its origin, and this instance's share of it. */
+const describeLimit = (
+    { shareGapMs, shareInMs }: UpstreamFacts,
+    { perSecond, heardBy: receivedBy, sinceUnixMs }: StoredLimit,
+): string =>
+    `takes ${perSecond} a second from all instances, by its word to ${receivedBy}, since ${new Date(sinceUnixMs).toISOString()}; `
     + `this instance may send one every ${Math.ceil(shareGapMs)} ms, the next in ${Math.ceil(shareInMs)} ms`;
 
-const whyInState = (facts: UpstreamFacts): string => {
+const stateReason = (facts: UpstreamFacts): string => {
     switch (facts.state) {
         case "ready":
             return "";
--- a/packages/daemon/src/operators/operators-endpoint.ts
+++ b/packages/daemon/src/operators/operators-endpoint.ts
@@ -1,5 +1,5 @@
 /**
- * The side of a daemon that operators and the balancer in front talk to.
+ * The daemon's endpoint for operators and for the load balancer in front of it.
  *
  * @packageDocumentation
  */
@@ -15,12 +15,12 @@
     readonly settings: Settings;
 }
 
-/** Serves operators' calls, metrics and readiness. */
+/** Serves operators' RPC calls, metrics and readiness. */
 export class OperatorsEndpoint {
     private readonly server: RpcServer;
-    private readonly ready: HttpServer | undefined;
+    private readonly readiness: HttpServer | undefined;
 
-    /** @param options - Settings, and what is told. */
+    /** @param options - Settings and the state that is exposed. */
     constructor(private readonly options: OperatorsEndpointOptions) {
         const { settings, metrics, serviceOptions, onRefused } = options;
         const isReady = (): boolean => options.instance.stage === "serving";
@@ -31,21 +31,21 @@
             fallback: operatorsHttpHandler({ registry: metrics.registry, isReady, refresh: () => this.refreshGauges() }),
             onRefused,
         });
-        this.ready = settings.ready
+        this.readiness = settings.ready
             && new HttpServer({ settings: settings.ready, handler: readinessHandler(settings.ready.path, isReady) });
     }
 
-    /** Begins to serve operators; gives the port. */
+    /** Starts serving operators and returns the port. */
     listen(): Promise<number> {
         return this.server.listen();
     }
 
-    /** Begins to answer the balancer in front; gives the port, 0 where the settings name none. */
+    /** Starts the readiness server and returns its port; 0 if it is not configured. */
     async listenForReadiness(): Promise<number> {
-        return await this.ready?.listen() ?? 0;
+        return await this.readiness?.listen() ?? 0;
     }
 
-    /** The metrics as they are scraped. */
+    /** Metrics in the Prometheus text format. */
     metricsText(): Promise<string> {
         this.refreshGauges();
         return this.options.metrics.registry.metrics();
@@ -53,7 +53,7 @@
 
     /** Stops serving. */
     async close(): Promise<void> {
-        await Promise.all([this.server.close(), this.ready?.close()]);
+        await Promise.all([this.server.close(), this.readiness?.close()]);
     }
 
     private refreshGauges(): void {
--- a/packages/daemon/src/peers/connect-clients.ts
+++ b/packages/daemon/src/peers/connect-clients.ts
@@ -1,5 +1,5 @@
 /**
- * Clients of other instances over HTTP/1.1, with mutual TLS where files are named.
+ * Connect clients of other instances over HTTP/1.1, with mutual TLS if certificates are configured.
  *
  * @packageDocumentation
  */
@@ -12,27 +12,27 @@
 import { Agent as HttpsAgent } from "node:https";
 import { readTlsFiles, type TlsFileNames, watchTlsFiles } from "./tls-files.js";
 
-/** Connections that are kept open to one instance. */
+/** Idle connections that are kept open to each instance. */
 const idleConnections = 2;
 
-/** {@link PeerClients} over connect. */
+/** {@link PeerClients} that use the Connect protocol. */
 export class ConnectClients implements PeerClients {
     private readonly clients = new Map<string, Client<typeof PeerService>>();
     private agent: HttpAgent | HttpsAgent;
-    private readonly endWatch: () => void;
+    private readonly stopWatching: () => void;
 
-    /** @param files - TLS files of the side between instances. */
+    /** @param files - TLS files of the peers' endpoint. */
     constructor(private readonly files: TlsFileNames) {
         this.agent = this.openAgent();
-        this.endWatch = watchTlsFiles(files, () => this.reload());
+        this.stopWatching = watchTlsFiles(files, () => this.reload());
     }
 
     to(peer: PeerAddress): Client<typeof PeerService> {
         const host = peer.address.includes(":") ? `[${peer.address}]` : peer.address;
         const name = `${host}:${peer.port}`;
-        const known = this.clients.get(name);
-        if (known !== undefined) {
-            return known;
+        const existing = this.clients.get(name);
+        if (existing !== undefined) {
+            return existing;
         }
         const scheme = this.agent instanceof HttpsAgent ? "https" : "http";
         const transport = createConnectTransport({
@@ -47,7 +47,7 @@
     }
 
     close(): void {
-        this.endWatch();
+        this.stopWatching();
         this.clients.clear();
         this.agent.destroy();
     }
@@ -60,13 +60,13 @@
 
     private reload(): void {
         try {
-            const old = this.agent;
+            const previous = this.agent;
             this.agent = this.openAgent();
             this.clients.clear();
-            old.destroy();
+            previous.destroy();
         }
         catch {
-            // The server side of the same files tells of files that cannot be used.
+            // The server, which uses the same files, reports invalid ones.
         }
     }
 }
--- a/packages/daemon/src/peers/create-fleet.ts
+++ b/packages/daemon/src/peers/create-fleet.ts
@@ -1,5 +1,5 @@
 /**
- * Making this instance's part in the fleet.
+ * Creates this instance's fleet membership.
  *
  * @packageDocumentation
  */
@@ -11,7 +11,7 @@
 import type { Metrics } from "../telemetry/metrics.js";
 import { ThresholdLog } from "../telemetry/threshold-log.js";
 
-/** What an instance joins its fleet with: the fleet's options but for those that the settings and the metrics give. */
+/** Fleet options, except those that are derived from settings and metrics. */
 export interface CreateFleetOptions
     extends Omit<FleetOptions, "fleet" | "address" | "port" | "onExchange" | "onLimited" | "onUnreachable"> {
     readonly settings: NonNullable<Settings["peers"]>;
@@ -19,16 +19,13 @@
     readonly log: EventLog;
 }
 
-/**
- * Exchanges held back within {@link limitedIntervalMs} that are told: half of what one link makes at its limit. Ten within two
- * seconds are usual when entries of many upstreams change at once (7 times on a day of trouble of 13 instances).
- */
+/** Delayed exchanges within {@link limitedIntervalMs} from which they are logged; bursts below it are normal. */
 const limitedThreshold = 50;
 const limitedIntervalMs = 10_000;
 
-/** Makes the fleet's part on one instance. */
+/** Creates the fleet membership of an instance. */
 export const createFleet = ({ settings, metrics, log, ...options }: CreateFleetOptions): Fleet => {
-    const limited = new ThresholdLog({
+    const limitedLog = new ThresholdLog({
         clock: options.clock,
         log,
         event: events.exchangesLimited,
@@ -44,7 +41,7 @@
         onExchange: reason => metrics.peerExchanges.inc({ reason }),
         onLimited: () => {
             metrics.exchangesLimited.inc();
-            limited.record();
+            limitedLog.record();
         },
         onUnreachable: () => metrics.peersUnreachable.inc(),
     });
--- a/packages/daemon/src/peers/instance-fleet.ts
+++ b/packages/daemon/src/peers/instance-fleet.ts
@@ -1,5 +1,5 @@
 /**
- * What an instance gives to its part in the fleet, and takes from it.
+ * Connects an instance to its fleet membership.
  *
  * @packageDocumentation
  */
@@ -9,7 +9,7 @@
 import type { EventLog } from "../telemetry/event-log.js";
 import { events } from "../telemetry/event.js";
 
-/** The options of a fleet that an instance itself gives. */
+/** The fleet options that come from the instance. */
 export type InstanceFleetOptions = Pick<
     FleetOptions,
     | "instance"
@@ -26,10 +26,10 @@
 >;
 
 /**
- * Ties an instance to its part in the fleet.
+ * Creates the fleet options that connect an instance to its fleet membership.
  *
  * @param instance - The instance.
- * @param log - Takes events.
+ * @param log - Receives events.
  */
 export const instanceFleetOptions = (instance: Instance, log: EventLog): InstanceFleetOptions => ({
     instance: instance.id,
@@ -38,10 +38,14 @@
     directory: instance.directory,
     crashes: instance.crashes.history,
     limits: instance.limits,
-    onConfiguration: (source, text) => void instance.applyConfiguration(source, text),
+    onConfiguration: (distributor, text) => void instance.applyConfiguration(distributor, text),
     onDirectory: () => instance.updateServices(),
     onSizeChange: () => instance.updateBudgets(),
-    onDistributorLost: (source, error) =>
-        log.write(events.sourceLost, { source, ageMs: instance.fleet?.stalenessTracker.confirmedStalenessMs, error }),
-    onDrainMessage: rumor => instance.applyDrainMessage(rumor),
+    onDistributorLost: (distributor, error) =>
+        log.write(events.sourceLost, {
+            source: distributor,
+            ageMs: instance.fleet?.stalenessTracker.confirmedStalenessMs,
+            error,
+        }),
+    onDrainMessage: message => instance.applyDrainMessage(message),
 });
--- a/packages/daemon/src/peers/peer-endpoint.ts
+++ b/packages/daemon/src/peers/peer-endpoint.ts
@@ -1,6 +1,5 @@
 /**
- * The side of a daemon that talks to other instances. This module is loaded only
- * where the settings name such a side.
+ * The daemon's endpoint for other instances; loaded only if the settings configure it.
  *
  * @packageDocumentation
  */
@@ -17,7 +16,7 @@
 import type { RpcEndpointOptions } from "./rpc-endpoint-options.js";
 import { RpcServer } from "./rpc-server.js";
 
-/** Settings of the side between instances. */
+/** Settings of the peers' endpoint. */
 export type PeerSettings = NonNullable<Settings["peers"]>;
 
 /** Options of {@link PeerEndpoint}. */
@@ -57,7 +56,7 @@
         });
     }
 
-    /** Begins to serve other instances and to talk to them; gives the port. */
+    /** Starts serving other instances, joins the fleet, and returns the port. */
     async start(): Promise<number> {
         const { settings, instance, availabilityZone, clock, random, metrics, log } = this.options;
         const port = await this.server.listen();
@@ -77,12 +76,12 @@
         return port;
     }
 
-    /** Takes over changed settings. */
+    /** Applies changed settings. */
     reload(settings: Settings["peers"]): void {
         this.options.instance.fleet?.replaceSeeds(seedsOf(settings));
     }
 
-    /** Ends all talk at once. */
+    /** Stops exchanging state with other instances and stops serving, immediately. */
     async close(): Promise<void> {
         this.options.instance.fleet?.stop();
         await this.server.close();
--- a/packages/daemon/src/peers/peer-joiner.ts
+++ b/packages/daemon/src/peers/peer-joiner.ts
@@ -1,5 +1,5 @@
 /**
- * When an instance joins the others.
+ * Controls when an instance joins the fleet.
  *
  * @packageDocumentation
  */
@@ -15,63 +15,60 @@
     readonly settings: Settings;
 }
 
-/**
- * Share of the delay by which instances join at different times: hundreds that start together all ask three seeds first,
- * and one exchange takes some milliseconds of a small core.
- */
-const joinSpread = 0.5;
+/** Random extra share of the join delay, so that instances that start together do not overload the seeds. */
+const joinJitter = 0.5;
 
-/** Opens the side between instances where the settings name one: at the start, or some time after it. */
+/** Opens the peers' endpoint if it is configured, at the start or after the join delay. */
 export class PeerJoiner {
-    private side: PeerEndpoint | undefined;
+    private endpoint: PeerEndpoint | undefined;
     private settings: Settings["peers"];
-    private readonly ending = new AbortController();
-    private isWaiting = false;
+    private readonly closing = new AbortController();
+    private isJoinPending = false;
 
     /** @param options - Settings and the instance. */
     constructor(private readonly options: PeerJoinerOptions) {
         this.settings = options.settings.peers;
     }
 
-    /** Clients of the other instances; `undefined` while this one works alone. */
+    /** Clients of the other instances; `undefined` while the instance is standalone. */
     get clients(): PeerClients | undefined {
-        return this.side?.clients;
+        return this.endpoint?.clients;
     }
 
-    /** Whether this instance is going to join others. */
+    /** Whether a delayed join is pending. */
     get willJoin(): boolean {
-        return this.isWaiting;
+        return this.isJoinPending;
     }
 
-    /** Joins the others now, or later where the settings say so; gives the port, 0 while there is none. */
+    /** Joins the fleet, or schedules the join if a delay is configured; returns the port, 0 until it has joined. */
     async start(): Promise<number> {
         const joinDelayMs = this.settings?.joinDelayMs ?? 0;
         if (joinDelayMs === 0) {
             return this.join();
         }
-        this.isWaiting = true;
-        void this.joinLate(joinDelayMs).finally(() => {
-            this.isWaiting = false;
+        this.isJoinPending = true;
+        void this.joinAfterDelay(joinDelayMs).finally(() => {
+            this.isJoinPending = false;
         });
         return 0;
     }
 
-    /** Takes over changed settings, also before the others are joined. */
+    /** Applies changed settings, also before the fleet is joined. */
     reload(settings: Settings["peers"]): void {
         this.settings = settings;
-        this.side?.reload(settings);
+        this.endpoint?.reload(settings);
     }
 
-    /** Ends all talk at once. */
+    /** Cancels a pending join and closes the endpoint. */
     async close(): Promise<void> {
-        this.ending.abort();
-        await this.side?.close();
+        this.closing.abort();
+        await this.endpoint?.close();
     }
 
-    private async joinLate(joinDelayMs: number): Promise<void> {
+    private async joinAfterDelay(joinDelayMs: number): Promise<void> {
         const { clock, random, log } = this.options;
-        await sleep(clock, joinDelayMs * (1 + joinSpread * random.next()), this.ending.signal);
-        if (this.ending.signal.aborted) {
+        await sleep(clock, joinDelayMs * (1 + joinJitter * random.next()), this.closing.signal);
+        if (this.closing.signal.aborted) {
             return;
         }
         try {
@@ -87,9 +84,13 @@
         if (settings === undefined) {
             return 0;
         }
-        // Loaded only here: an instance that works alone, or has just started, does not pay for it.
-        const { PeerEndpoint: Side } = await import("./peer-endpoint.js");
-        this.side = new Side({ ...this.options, settings, availabilityZone: this.options.settings.instance.availabilityZone });
-        return await this.side.start();
+        // Loaded on demand to keep the start of a standalone instance fast.
+        const { PeerEndpoint: Endpoint } = await import("./peer-endpoint.js");
+        this.endpoint = new Endpoint({
+            ...this.options,
+            settings,
+            availabilityZone: this.options.settings.instance.availabilityZone,
+        });
+        return await this.endpoint.start();
     }
 }
--- a/packages/daemon/src/peers/rpc-endpoint-options.ts
+++ b/packages/daemon/src/peers/rpc-endpoint-options.ts
@@ -1,5 +1,5 @@
 /**
- * What every side of an instance that serves calls is made of.
+ * Options shared by the RPC endpoints.
  *
  * @packageDocumentation
  */
@@ -8,11 +8,11 @@
 import type { OperatorServiceOptions } from "../operators/operator-service.js";
 import type { Metrics } from "../telemetry/metrics.js";
 
-/** Options that the operators' side and the peers' side share. */
+/** Options that the operators' and the peers' endpoint share. */
 export interface RpcEndpointOptions {
     readonly metrics: Metrics;
     readonly instance: Instance;
     readonly serviceOptions: () => OperatorServiceOptions;
-    /** Told of a call or connection that was refused. */
+    /** Called when a call or connection was refused. */
     readonly onRefused: (reason: string) => void;
 }
--- a/packages/daemon/src/peers/rpc-listeners.ts
+++ b/packages/daemon/src/peers/rpc-listeners.ts
@@ -1,5 +1,5 @@
 /**
- * The RPC services of a daemon. This module is loaded at the first call only.
+ * HTTP listeners of the RPC services; loaded at the first call.
  *
  * @packageDocumentation
  */
@@ -10,10 +10,10 @@
 import { explainLocally, operatorService, type OperatorServiceOptions, toStatus } from "../operators/operator-service.js";
 import type { Listener } from "./rpc-server.js";
 
-/** Largest message that is read: a document of a megabyte and what goes with it. */
+/** Maximum size of a received message; allows for a document of 1 MiB and its envelope. */
 const maximumMessageBytes = 2 * 1024 * 1024;
 
-/** Makes the handler of operators' calls. */
+/** Creates the listener for operators' calls. */
 export const operatorsListener = (options: OperatorServiceOptions): Listener =>
     connectNodeAdapter({
         routes: router => router.service(OperatorService, operatorService(options)),
@@ -25,7 +25,7 @@
     readonly operators: OperatorServiceOptions;
 }
 
-/** Makes the handler of other instances' calls. */
+/** Creates the listener for other instances' calls. */
 export const peersListener = ({ operators, ...options }: PeersListenerOptions): Listener => {
     const service = peerService({
         ...options,
--- a/packages/daemon/src/peers/rpc-server.ts
+++ b/packages/daemon/src/peers/rpc-server.ts
@@ -1,5 +1,5 @@
 /**
- * A server for RPC over HTTP/1.1, with mutual TLS where files are named.
+ * A server for RPC over HTTP/1.1, with mutual TLS if certificates are configured.
  *
  * @packageDocumentation
  */
@@ -16,46 +16,46 @@
 /** Options of {@link RpcServer}. */
 export interface RpcServerOptions {
     readonly settings: TlsFileNames & { readonly address: string; readonly port: number; };
-    /** Paths below this one are RPC. */
+    /** Path prefix of RPC calls. */
     readonly rpcPrefix: string;
-    /** Makes the handler of RPC at the first call, so that a start does not pay for it. */
+    /** Creates the RPC listener; called at the first RPC call to keep startup fast. */
     readonly openRpc: () => Promise<Listener>;
-    /** Answers what is no RPC. */
+    /** Handles all other requests. */
     readonly fallback: Listener;
-    /** Told of a connection that was refused, for example for its certificate. */
+    /** Called when a connection is refused, for example because of its certificate. */
     readonly onRefused: (reason: string) => void;
 }
 
-/** Serves RPC; with TLS only holders of a certificate of the authority are admitted. */
+/** Serves RPC; with TLS, clients must present a certificate of the configured authority. */
 export class RpcServer {
     private readonly server: Server | TlsServer;
-    private readonly endWatch: () => void;
+    private readonly stopWatching: () => void;
     private rpc: Promise<Listener> | undefined;
 
-    /** @param options - Address, services and files. */
+    /** @param options - Address, services and TLS files. */
     constructor(private readonly options: RpcServerOptions) {
         const { settings } = options;
         const listener: Listener = (request, response) => this.handle(request, response);
         const tls = readTlsFiles(settings);
         if (tls === undefined) {
             this.server = createServer(listener);
-            this.endWatch = () => undefined;
+            this.stopWatching = () => undefined;
             return;
         }
         const server = createTlsServer({ ...tls, requestCert: true, rejectUnauthorized: true }, listener);
         server.on("tlsClientError", error => options.onRefused(error.message));
-        this.endWatch = watchTlsFiles(settings, () => this.reload(server));
+        this.stopWatching = watchTlsFiles(settings, () => this.reload(server));
         this.server = server;
     }
 
-    /** Begins to listen; gives the port. */
+    /** Starts listening and returns the port. */
     listen(): Promise<number> {
         return listenOn(this.server, this.options.settings);
     }
 
     /** Stops listening and closes all connections. */
     async close(): Promise<void> {
-        this.endWatch();
+        this.stopWatching();
         await new Promise<void>(resolve => {
             this.server.close(() => resolve());
             this.server.closeAllConnections();
@@ -72,7 +72,7 @@
         this.rpc.then(
             rpc => rpc(request, response),
             (thrown: unknown) => {
-                onRefused(`the service could not be opened: ${asError(thrown).message}`);
+                onRefused(`the RPC service could not be loaded: ${asError(thrown).message}`);
                 response.writeHead(500).end();
             },
         );
@@ -86,7 +86,7 @@
             }
         }
         catch (thrown) {
-            this.options.onRefused(`new TLS files cannot be used: ${asError(thrown).message}`);
+            this.options.onRefused(`changed TLS files cannot be used: ${asError(thrown).message}`);
         }
     }
 }
--- a/packages/daemon/src/platform/default-platform.ts
+++ b/packages/daemon/src/platform/default-platform.ts
@@ -1,5 +1,5 @@
 /**
- * harrierhitch's own platform: documents in INI, header names from the configuration.
+ * The built-in platform: INI documents, and header names from the configuration.
  *
  * @packageDocumentation
  */
@@ -9,13 +9,13 @@
 import { HttpPlatform } from "./http-platform.js";
 import type { PlatformAdapter } from "./platform.js";
 
-/** The {@link PlatformAdapter} that is used unless a program brings another. */
+/** The {@link PlatformAdapter} that is used unless the program provides another. */
 export const defaultPlatform: PlatformAdapter = {
     open: options => new HttpPlatform(options),
     createParser: () => ({
         parseConfiguration: checkConfiguration,
         parseUpstream: id => {
-            const message = "this platform lists no upstreams apart from the configuration";
+            const message = "this platform publishes no upstreams besides those of the configuration";
             return { value: undefined, findings: [{ file: id, section: "", key: "", line: undefined, message }] };
         },
     }),
--- a/packages/daemon/src/platform/http-get.ts
+++ b/packages/daemon/src/platform/http-get.ts
@@ -1,5 +1,5 @@
 /**
- * Plain GET calls to a platform, whole or not at all.
+ * HTTP GET requests with limits on time and response size.
  *
  * @packageDocumentation
  */
@@ -10,29 +10,29 @@
 
 /** Options of {@link HttpClient}. */
 export interface HttpClientOptions {
-    /** Largest body that is taken. */
+    /** Maximum response body size, in bytes. */
     readonly maximumBytes: number;
 }
 
-/** The connections to a platform, with the limit on its answers. */
+/** Connections to a platform and the limits of its responses. */
 export class HttpClient {
-    /** Connections, kept between calls. */
+    /** Agent with persistent connections. */
     readonly agent = new Agent({ keepAlive: true, maxFreeSockets: 2 });
 
     /** @param options - Limits. */
     constructor(readonly options: HttpClientOptions) {}
 }
 
-/** One call. */
+/** A GET request. */
 export interface HttpGetRequest {
     readonly url: string;
     readonly headers?: Readonly<Record<string, string>>;
-    /** Longest time for the whole answer; the connection is closed with the call that outlasts it. */
+    /** Time limit for the complete response, in milliseconds; on timeout the connection is closed. */
     readonly timeoutMs: number;
     readonly signal: AbortSignal;
 }
 
-/** A whole answer. */
+/** A complete response. */
 export interface HttpResponse {
     readonly status: number;
     readonly headers: IncomingHttpHeaders;
@@ -40,12 +40,12 @@
 }
 
 /**
- * Makes a call.
+ * Sends a GET request.
  *
- * @param getter - Connections and limits.
- * @param call - The call.
- * @returns The whole answer, whatever its status.
- * @throws {@link PlatformError} when there is no whole answer in time.
+ * @param client - Connections and limits.
+ * @param call - The request.
+ * @returns The complete response, whatever its status.
+ * @throws {@link PlatformError} if no complete response arrives in time.
  */
 export const httpGet = ({ agent, options }: HttpClient, call: HttpGetRequest): Promise<HttpResponse> =>
     new Promise((resolve, reject) => {
@@ -62,7 +62,7 @@
                 bytes += chunk.length;
                 chunks.push(chunk);
                 if (bytes > options.maximumBytes) {
-                    fail(new PlatformError(`the answer has more than ${options.maximumBytes} bytes`));
+                    fail(new PlatformError(`the response has more than ${options.maximumBytes} bytes`));
                 }
             });
             response.on("error", fail);
@@ -71,6 +71,6 @@
                 resolve({ status: response.statusCode ?? 0, headers: response.headers, body: Buffer.concat(chunks) });
             });
         });
-        const timer = setTimeout(() => fail(new PlatformError(`no answer within ${timeoutMs} ms`)), timeoutMs);
+        const timer = setTimeout(() => fail(new PlatformError(`no response within ${timeoutMs} ms`)), timeoutMs);
         request.on("error", fail);
     });
--- a/packages/daemon/src/platform/platform-link.ts
+++ b/packages/daemon/src/platform/platform-link.ts
@@ -1,6 +1,5 @@
 /**
- * This instance's link to the platform: what it tells reaches the instance, and
- * its absence is told to the others.
+ * Passes the platform's publications to the instance, and its availability to the fleet.
  *
  * @packageDocumentation
  */
@@ -21,103 +20,97 @@
     readonly random: RandomSource;
     readonly instance: Pick<Instance, "fleet" | "directory" | "applyPublication" | "recordPlatformFailure">;
     readonly log: EventLog;
-    /** Shortest time between two tries while the platform is down. */
+    /** Delay before a reader retries while the platform is unavailable, in milliseconds. */
     readonly retryMs: number;
-    /** Longest time of a watch of an instance that reads for itself alone. */
+    /** Longest long poll of an instance without subscribers, in milliseconds. */
     readonly watchMs: number;
     readonly times: FleetTimes;
-    /** Whether this instance is going to join others, from whom it will hear what the platform tells. */
+    /** Whether this instance is about to join a fleet, from which it will receive publications. */
     readonly willJoin: () => boolean;
-    /** Looks whether this process slept, and if so calls {@link PlatformLink.recordStall}. */
+    /** Checks for a stall and, if there was one, calls {@link PlatformLink.recordStall}. */
     readonly checkForStall: () => void;
-    /** Whether callers have come to this instance: whoever serves nobody needs to know nothing. */
+    /** Whether this instance has served callers; without callers it need not be up to date. */
     readonly hasCallers: () => boolean;
 }
 
-/** Time after joining others in which they may tell what this instance lacks. */
+/** Time after joining the fleet in which other instances may send what this one lacks, in milliseconds. */
 const joinGraceMs = 600;
 
-/** Shortest time between two tries of an instance that is no reader, while the platform is down. */
-const followerRetryMs = 2000;
+/** Minimum delay before an instance that is not a reader retries while the platform is unavailable, in milliseconds. */
+const nonReaderRetryMs = 2000;
 
 /**
- * Time after the first read, whose answer may be some seconds old, in which an instance may hear from others what it
- * lacks. With the second that a process takes to start it is below the three seconds after which callers may rely on it.
+ * Time after the first read, whose response may be stale, in which an instance waits for updates from the fleet before
+ * it reads again, in milliseconds.
  */
-const firstAskMs = 1500;
+const secondReadMs = 1500;
 
-/**
- * The same for an instance that has not joined the others yet, and hears nothing from them. The second or two that a
- * process takes to start on a small core, and to take in a large configuration, come on top: asking later, it would refuse
- * routes that callers may rely on.
- */
-const firstAskAloneMs = 700;
+/** The same for an instance that has not joined the fleet yet and receives no updates from it. */
+const secondReadUnjoinedMs = 700;
 
-/** Instances that are no readers try at most so often a second together while the platform is down. */
-const fleetTriesPerSecond = 5;
+/** Combined rate of retries by all instances that are not readers while the platform is unavailable. */
+const fleetRetriesPerSecond = 5;
 
 /**
- * Time after the platform's return for which entries that lapsed meanwhile may
- * still be missing although their upstreams live. Such entries may take two
- * seconds, but an instance that alone was cut off notices the return up to a
- * second late (seen) and has to know within three seconds what left meanwhile.
+ * Time after the platform's recovery in which entries that expired during the outage may still be missing although
+ * their upstreams are running, in milliseconds.
  */
-const lapseGraceMs = 1300;
+const expiryGraceMs = 1300;
 
-/** Follows the platform on behalf of an instance. */
+/** Watches the platform on behalf of an instance. */
 export class PlatformLink {
-    private readonly follower: PlatformWatcher;
-    private regainedAtMs = -Infinity;
-    private readAtMs = -Infinity;
-    /** When the platform last told all that had changed. */
+    private readonly watcher: PlatformWatcher;
+    private recoveredAtMs = -Infinity;
+    private initialReadAtMs = -Infinity;
+    /** Time as of which the platform last confirmed that nothing is missing here. */
     private confirmedAtMs = -Infinity;
-    /** When this instance tries itself although those it hears from are trying. */
-    private rareTryAtMs: number | undefined;
-    private isLost = false;
+    /** Time of this instance's next direct call to the platform while its distributors are stale. */
+    private directCallAtMs: number | undefined;
+    private isUnavailable = false;
 
     /** @param options - The platform and the instance. */
     constructor(private readonly options: PlatformLinkOptions) {
         const { platform, clock, random, instance, retryMs, times } = options;
-        this.follower = new PlatformWatcher({
+        this.watcher = new PlatformWatcher({
             platform,
             clock,
             random,
-            retryMs: () => this.isReader ? retryMs : followerRetryMs,
+            retryMs: () => this.isReader ? retryMs : nonReaderRetryMs,
             batchMs: times.batchMs,
             dueInMs: () => this.dueInMs(),
-            watchMs: () => this.watchMs,
+            longPollMs: () => this.watchMs,
             appliedRevision: () => instance.directory.revision,
-            onPublication: (publication, kind, asOfMs) => this.take(publication, kind, asOfMs),
+            onPublication: (publication, kind, asOfMs) => this.applyPublication(publication, kind, asOfMs),
             checkForStall: options.checkForStall,
-            onLost: error => this.onLost(error),
-            onRecovered: () => this.onRegained(),
+            onUnavailable: error => this.onUnavailable(error),
+            onRecovered: () => this.onRecovered(),
         });
     }
 
-    /** Milliseconds since the platform last answered; negative if it never did. */
+    /** Milliseconds since the platform's last response; negative if there was none. */
     get lastResponseAgeMs(): number {
-        return this.follower.lastResponseAgeMs;
+        return this.watcher.lastResponseAgeMs;
     }
 
-    /** Milliseconds for which removals that the platform tells are doubtful, because it was away just now. */
+    /** Milliseconds for which removals remain unconfirmed because the platform was unavailable until recently. */
     get removalGraceMs(): number {
-        const sinceMs = this.options.clock.nowMs() - this.regainedAtMs;
-        return this.isLost ? lapseGraceMs : Math.max(0, lapseGraceMs - sinceMs);
+        const sinceMs = this.options.clock.nowMs() - this.recoveredAtMs;
+        return this.isUnavailable ? expiryGraceMs : Math.max(0, expiryGraceMs - sinceMs);
     }
 
-    /** Begins to follow. */
+    /** Starts watching the platform. */
     start(): void {
-        this.follower.start();
+        this.watcher.start();
     }
 
-    /** Ends following. */
+    /** Stops watching the platform. */
     stop(): void {
-        this.follower.stop();
+        this.watcher.stop();
     }
 
-    /** Notes that this process slept until now, so that no answer that lay here meanwhile is taken for a new one. */
+    /** Records that the process was stalled until now, so that a response received before the stall does not count as new. */
     recordStall(): void {
-        this.follower.recordStall();
+        this.watcher.recordStall();
     }
 
     private get isReader(): boolean {
@@ -125,13 +118,13 @@
         return fleet === undefined ? !this.options.willJoin() : fleet.roles.isReader;
     }
 
-    /** Time between two tries of this instance while others try for it. */
-    private get rareTryMs(): number {
+    /** Upper bound of the random delay before a direct call while the distributors are stale, in milliseconds. */
+    private get maximumDirectDelayMs(): number {
         const alive = this.options.instance.fleet?.members.alive.length ?? 1;
-        return Math.max(followerRetryMs, alive * 1000 / fleetTriesPerSecond);
+        return Math.max(nonReaderRetryMs, alive * 1000 / fleetRetriesPerSecond);
     }
 
-    /** A reader waits for changes; whoever is no reader asks only what it has missed. */
+    /** Readers use long polls; other instances only fetch the changes they missed. */
     private get watchMs(): number {
         const { instance: { fleet }, times, watchMs } = this.options;
         if (!this.isReader) {
@@ -145,23 +138,24 @@
         if (this.isReader || instance.directory.revision === 0) {
             return 0;
         }
-        const firstAskInMs = this.readAtMs + (instance.fleet === undefined ? firstAskAloneMs : firstAskMs) - clock.nowMs();
+        const secondReadInMs = this.initialReadAtMs + (instance.fleet === undefined ? secondReadUnjoinedMs : secondReadMs)
+            - clock.nowMs();
         return Math.max(
             0,
-            firstAskInMs,
-            instance.fleet === undefined ? this.dueAloneInMs() : this.dueInFleetInMs(instance.fleet),
+            secondReadInMs,
+            instance.fleet === undefined ? this.dueBeforeJoinInMs() : this.dueInFleetInMs(instance.fleet),
         );
     }
 
-    /** An instance that is going to join others asks only for its callers' sake, and only when what it knows is stale. */
-    private dueAloneInMs(): number {
+    /** Before joining, an instance reads again only if it has callers and its state is stale. */
+    private dueBeforeJoinInMs(): number {
         const { clock, times, hasCallers } = this.options;
         return hasCallers() ? this.confirmedAtMs + times.staleAfterMs - clock.nowMs() : Infinity;
     }
 
     /**
-     * An instance that hears from others asks when they tell nothing any more: a relay a little sooner, so that one call
-     * serves its zone. While they answer that they know no better, it is they who try, and this one does so rarely.
+     * A fleet member calls the platform when its distributors no longer send updates; relays do so a little earlier, so that
+     * one call serves the availability zone. While distributors respond that they are stale themselves, it rarely calls.
      */
     private dueInFleetInMs(fleet: Fleet): number {
         const { times, clock, random, hasCallers } = this.options;
@@ -170,45 +164,46 @@
         if (!isRelay && !hasCallers()) {
             return Infinity;
         }
-        const ageMs = Math.min(fleet.stalenessTracker.stalenessMs, nowMs - this.confirmedAtMs);
-        const staleInMs = times.staleAfterMs - (isRelay ? times.relayLeadMs : 0) - ageMs;
+        const stalenessMs = Math.min(fleet.stalenessTracker.stalenessMs, nowMs - this.confirmedAtMs);
+        const staleInMs = times.staleAfterMs - (isRelay ? times.relayLeadMs : 0) - stalenessMs;
         if (!fleet.isDistributorStale) {
-            this.rareTryAtMs = undefined;
+            this.directCallAtMs = undefined;
             return Math.max(staleInMs, fleet.joinedAtMs + joinGraceMs - nowMs);
         }
-        // Drawn from the whole time: if nobody tried in its first half, nothing would be heard of a platform that serves all but the sources.
-        this.rareTryAtMs ??= nowMs + this.rareTryMs * random.next();
-        const dueInMs = Math.max(staleInMs, this.rareTryAtMs - nowMs);
-        // The next try, should this one fail, is as far away again.
-        this.rareTryAtMs = dueInMs <= 0 ? undefined : this.rareTryAtMs;
+        // The delay is random over the full interval, so that some instance soon detects a platform that fails only for readers
+        // and relays.
+        this.directCallAtMs ??= nowMs + this.maximumDirectDelayMs * random.next();
+        const dueInMs = Math.max(staleInMs, this.directCallAtMs - nowMs);
+        // If this attempt fails, the next delay is drawn anew.
+        this.directCallAtMs = dueInMs <= 0 ? undefined : this.directCallAtMs;
         return dueInMs;
     }
 
-    private take(publication: Publication, kind: PublicationKind, asOfMs: number): void {
+    private applyPublication(publication: Publication, kind: PublicationKind, asOfMs: number): void {
         const { instance, clock } = this.options;
         instance.applyPublication(publication, kind !== "changes");
-        if (kind === "stale") {
-            this.readAtMs = clock.nowMs();
+        if (kind === "stale-snapshot") {
+            this.initialReadAtMs = clock.nowMs();
             return;
         }
         this.confirmedAtMs = asOfMs;
         instance.fleet?.stalenessTracker.confirm(clock.nowMs() - asOfMs);
     }
 
-    private onLost(error: Error): void {
+    private onUnavailable(error: Error): void {
         const { fleet, directory } = this.options.instance;
-        this.isLost = true;
+        this.isUnavailable = true;
         this.options.instance.recordPlatformFailure();
         fleet?.members.updateSelf({ platformReachable: false });
         fleet?.gossipNow();
         this.options.log.write(events.platformFailed, { revision: directory.revision, error });
     }
 
-    /** Called before the answer is taken in, so that what it lacks is doubted. */
-    private onRegained(): void {
+    /** Called before the response is applied, so that removals in it are treated as unconfirmed. */
+    private onRecovered(): void {
         const { fleet, directory } = this.options.instance;
-        this.isLost = false;
-        this.regainedAtMs = this.options.clock.nowMs();
+        this.isUnavailable = false;
+        this.recoveredAtMs = this.options.clock.nowMs();
         fleet?.members.updateSelf({ platformReachable: true });
         this.options.log.write(events.platformRecovered, { revision: directory.revision });
     }
--- a/packages/daemon/src/platform/platform-options.ts
+++ b/packages/daemon/src/platform/platform-options.ts
@@ -1,5 +1,5 @@
 /**
- * What a platform is opened with, by the settings of a daemon.
+ * Derives a platform's options from a daemon's settings.
  *
  * @packageDocumentation
  */
@@ -11,11 +11,11 @@
 import type { PlatformOptions } from "./platform.js";
 
 /**
- * Makes the options of a platform; its calls are counted, and what it cannot read is logged.
+ * Creates the options of a platform; calls are counted, and invalid items are logged.
  *
  * @param settings - The settings.
- * @param metrics - Takes counts.
- * @param log - Takes events.
+ * @param metrics - Receives counts.
+ * @param log - Receives events.
  */
 export const platformOptions = ({ platform }: Settings, metrics: Metrics, log: EventLog): PlatformOptions => {
     const { addresses, configurationKey, readTimeoutMs } = platform;
--- a/packages/daemon/src/platform/platform-watcher.ts
+++ b/packages/daemon/src/platform/platform-watcher.ts
@@ -1,5 +1,5 @@
 /**
- * This instance's part in following the platform.
+ * Reads and watches the platform.
  *
  * @packageDocumentation
  */
@@ -7,83 +7,80 @@
 import { asError, type Clock, type RandomSource, sleep } from "@harrierhitch/core";
 import { HistoryLostError, type Platform, type Publication } from "./platform.js";
 
-/** What a publication is: everything, perhaps from a few seconds ago; everything as of now; or what changed until now. */
-export type PublicationKind = "stale" | "whole" | "changes";
+/** Kind of a publication: a snapshot that may be a few seconds old, a current snapshot, or the changes since a revision. */
+export type PublicationKind = "stale-snapshot" | "snapshot" | "changes";
 
 /** Options of {@link PlatformWatcher}. */
 export interface PlatformWatcherOptions {
     readonly platform: Platform;
     readonly clock: Clock;
     readonly random: RandomSource;
-    /** Time between two tries while the platform is down. */
+    /** Delay before a retry while the platform is unavailable, in milliseconds. */
     readonly retryMs: () => number;
-    /** Milliseconds until the platform has to be asked; 0 for now. */
+    /** Milliseconds until the next call to the platform is due; 0 if it is due now. */
     readonly dueInMs: () => number;
-    /** Longest time to wait for a change in one call. */
-    readonly watchMs: () => number;
-    /** Shortest time between two calls, so that changes that come together cost one call. */
+    /** Longest duration of a long poll, in milliseconds. */
+    readonly longPollMs: () => number;
+    /** Minimum interval between calls, in milliseconds, so that changes in quick succession are fetched together. */
     readonly batchMs: number;
-    /** The revision up to which this instance knows everything, from whatever source. */
+    /** Revision up to which all changes have been applied, whatever their source. */
     readonly appliedRevision: () => number;
-    /** Takes what a read or a watch told; `asOfMs` is the moment up to which it tells everything. */
+    /** Receives the result of a call; it is complete as of `asOfMs`. */
     readonly onPublication: (publication: Publication, kind: PublicationKind, asOfMs: number) => void;
-    /** Asked, before an answer is taken in, to look whether this process slept while it was on its way. */
+    /** Called before a response is applied, to detect a stall while the response was under way. */
     readonly checkForStall: () => void;
-    /** Told when the platform failed after it had answered, or at the first call. */
-    readonly onLost: (error: Error) => void;
-    /** Told when the platform answers again. */
+    /** Called when the platform has failed after a success, or at the first call. */
+    readonly onUnavailable: (error: Error) => void;
+    /** Called when the platform responds again. */
     readonly onRecovered: () => void;
 }
 
-/** Longest time between two looks at whose turn it is. */
-const turnMs = 250;
+/** Longest interval between checks whether a call is due, in milliseconds. */
+const maximumCheckIntervalMs = 250;
 
-/** Shortest one: a moment that rounding puts a billionth of a millisecond ahead would be looked at without end. */
-const shortestTurnMs = 1;
+/** Shortest interval between such checks, in milliseconds; avoids a busy loop when rounding leaves a tiny delay. */
+const minimumCheckIntervalMs = 1;
 
-/**
- * Reads the platform once, then watches it whenever it is this instance's turn.
- * Failures are told and tried again, they never end it.
- */
+/** Reads the platform once, then watches it whenever a call is due. Failed calls are reported and retried. */
 export class PlatformWatcher {
-    private readonly ending = new AbortController();
-    private answeredAtMs: number | undefined;
+    private readonly stopping = new AbortController();
+    private respondedAtMs: number | undefined;
     private hasRead = false;
-    private failuresInRow = 0;
-    private sleptAtMs = -Infinity;
-    /** After a gap in the history only a fresh read tells what went away meanwhile. */
-    private mustBeFresh = false;
+    private consecutiveFailures = 0;
+    private stalledAtMs = -Infinity;
+    /** Whether the next call must be a current read, because removals may be missing from the history. */
+    private needsCurrentRead = false;
 
-    /** @param options - The platform and what to do with its answers. */
+    /** @param options - The platform and callbacks. */
     constructor(private readonly options: PlatformWatcherOptions) {}
 
-    /** Milliseconds since the platform last answered; negative if it never did. */
+    /** Milliseconds since the platform's last response; negative if there was none. */
     get lastResponseAgeMs(): number {
-        return this.answeredAtMs === undefined ? -1 : this.options.clock.nowMs() - this.answeredAtMs;
+        return this.respondedAtMs === undefined ? -1 : this.options.clock.nowMs() - this.respondedAtMs;
     }
 
-    /** Begins to follow. */
+    /** Starts watching. */
     start(): void {
-        void this.follow();
+        void this.run();
     }
 
-    /** Ends following. */
+    /** Stops watching. */
     stop(): void {
-        this.ending.abort();
+        this.stopping.abort();
     }
 
-    /** Notes that this process slept until now. */
+    /** Records that the process was stalled until now. */
     recordStall(): void {
-        this.sleptAtMs = this.options.clock.nowMs();
+        this.stalledAtMs = this.options.clock.nowMs();
     }
 
-    private async follow(): Promise<void> {
+    private async run(): Promise<void> {
         const { clock, dueInMs, batchMs } = this.options;
-        const { signal } = this.ending;
+        const { signal } = this.stopping;
         while (!isAborted(signal)) {
-            const waitMs = dueInMs();
-            if (waitMs > 0) {
-                await sleep(clock, Math.max(shortestTurnMs, Math.min(waitMs, turnMs)), signal);
+            const dueMs = dueInMs();
+            if (dueMs > 0) {
+                await sleep(clock, Math.max(minimumCheckIntervalMs, Math.min(dueMs, maximumCheckIntervalMs)), signal);
                 continue;
             }
             const nextCallAtMs = clock.nowMs() + batchMs;
@@ -93,24 +90,24 @@
     }
 
     private async callOnce(signal: AbortSignal): Promise<void> {
-        const { clock, random, retryMs, onPublication, checkForStall: lookForSleep } = this.options;
+        const { clock, random, retryMs, onPublication, checkForStall } = this.options;
         const kind = this.nextKind();
-        const askedAtMs = clock.nowMs();
+        const requestedAtMs = clock.nowMs();
         try {
             const publication = await this.call(kind, signal);
             this.hasRead = true;
-            this.mustBeFresh = false;
-            this.onAnswer();
-            lookForSleep();
-            // The answer may have lain here while the process slept: it tells no more than that it is younger than the question.
-            onPublication(publication, kind, this.sleptAtMs >= askedAtMs ? askedAtMs : clock.nowMs());
+            this.needsCurrentRead = false;
+            this.onResponse();
+            checkForStall();
+            // If the process stalled during the call, the response is only known to be newer than the request.
+            onPublication(publication, kind, this.stalledAtMs >= requestedAtMs ? requestedAtMs : clock.nowMs());
         }
         catch (thrown) {
             if (isAborted(signal)) {
                 return;
             }
             if (thrown instanceof HistoryLostError) {
-                this.mustBeFresh = true;
+                this.needsCurrentRead = true;
                 return;
             }
             this.onFailure(asError(thrown));
@@ -119,41 +116,41 @@
     }
 
     private nextKind(): PublicationKind {
-        if (this.mustBeFresh) {
-            return "whole";
+        if (this.needsCurrentRead) {
+            return "snapshot";
         }
-        return this.hasRead || this.options.appliedRevision() > 0 ? "changes" : "stale";
+        return this.hasRead || this.options.appliedRevision() > 0 ? "changes" : "stale-snapshot";
     }
 
     private async call(kind: PublicationKind, signal: AbortSignal): Promise<Publication> {
-        const { platform, appliedRevision: knownRevision, watchMs } = this.options;
+        const { platform, appliedRevision, longPollMs } = this.options;
         if (kind !== "changes") {
-            return platform.read(signal, kind === "stale");
+            return platform.read(signal, kind === "stale-snapshot");
         }
-        const revision = knownRevision();
-        // While the platform fails, short calls notice its return at once.
-        const publication = await platform.watch(revision, signal, this.failuresInRow === 0 ? watchMs() : 0);
+        const revision = appliedRevision();
+        // While the platform fails, calls return at once so that a recovery is detected early.
+        const publication = await platform.watch(revision, signal, this.consecutiveFailures === 0 ? longPollMs() : 0);
         const { listings, zones, configuration } = publication;
         const isEmpty = listings.length === 0 && zones.length === 0 && configuration === undefined;
-        // A platform that loses its history may be deaf for a moment before: what it did not tell is asked for again.
+        // An empty response keeps the old revision, because a platform about to lose its history may omit changes.
         return isEmpty ? { ...publication, revision } : publication;
     }
 
-    private onAnswer(): void {
-        this.answeredAtMs = this.options.clock.nowMs();
-        if (this.failuresInRow > 0) {
-            this.failuresInRow = 0;
+    private onResponse(): void {
+        this.respondedAtMs = this.options.clock.nowMs();
+        if (this.consecutiveFailures > 0) {
+            this.consecutiveFailures = 0;
             this.options.onRecovered();
         }
     }
 
     private onFailure(error: Error): void {
-        this.failuresInRow += 1;
-        if (this.failuresInRow === 1) {
-            this.options.onLost(error);
+        this.consecutiveFailures += 1;
+        if (this.consecutiveFailures === 1) {
+            this.options.onUnavailable(error);
         }
     }
 }
 
-/** Read through a function, because the compiler takes the loop's condition for granted. */
+/** A function, because the compiler would otherwise narrow the loop condition to a constant. */
 const isAborted = (signal: AbortSignal): boolean => signal.aborted;
--- a/packages/daemon/src/platform/platform.ts
+++ b/packages/daemon/src/platform/platform.ts
@@ -1,5 +1,5 @@
 /**
- * What the platform publishes, behind an interface.
+ * Interface to the platform that publishes configuration and upstreams.
  *
  * @packageDocumentation
  */
@@ -9,84 +9,84 @@
 import type { DirectoryEntry, ZoneStatus } from "@harrierhitch/published";
 import type { HeaderProtocol } from "../request/header-protocol.js";
 
-/** What a read or a watch of the platform tells. */
+/** Result of a read or a watch. */
 export interface Publication {
-    /** Revision up to which everything is included. */
+    /** Revision up to which all changes are included. */
     readonly revision: number;
-    /** The published configuration; `undefined` when there is none, or none that is new. */
+    /** The published configuration; `undefined` if there is none or it has not changed. */
     readonly configuration: string | undefined;
-    /** Listed upstreams: all of them after a read, those that changed after a watch. */
+    /** Discovered upstreams: all of them after a read, the changed ones after a watch. */
     readonly listings: readonly DirectoryEntry[];
-    /** Availability zones out of service: all of them after a read, those that changed after a watch. */
+    /** Availability zones out of service: all of them after a read, the changed ones after a watch. */
     readonly zones: readonly ZoneStatus[];
 }
 
-/** The platform: it can be read and watched, never written. */
+/** Read-only access to the platform. */
 export interface Platform {
     /**
-     * Reads all that is published.
+     * Reads everything that is published.
      *
-     * @param signal - Ends the read.
-     * @param mayBeStale - Whether an answer from a few seconds ago will do.
-     * @throws {@link PlatformError} when the platform does not answer properly.
+     * @param signal - Cancels the read.
+     * @param mayBeStale - Whether a result that is a few seconds old is acceptable.
+     * @throws {@link PlatformError} if the call fails or the response is invalid.
      */
     read(signal: AbortSignal, mayBeStale: boolean): Promise<Publication>;
 
     /**
-     * Waits until something changes.
+     * Waits for changes.
      *
-     * @param revision - The revision that is already known.
-     * @param signal - Ends the watch.
-     * @param waitMs - Longest time to wait for a change; 0 only tells what has changed.
-     * @returns What changed; nothing when nothing changed in that time.
-     * @throws {@link HistoryLostError} when the changes since that revision are no longer known.
-     * @throws {@link PlatformError} when the platform does not answer properly.
+     * @param revision - The revision that the caller already has.
+     * @param signal - Cancels the watch.
+     * @param waitMs - Longest time to wait for a change; 0 returns the changes so far.
+     * @returns The changes; none if nothing changed within that time.
+     * @throws {@link HistoryLostError} if the changes since that revision are no longer available.
+     * @throws {@link PlatformError} if the call fails or the response is invalid.
      */
-    watch(revision: number, signal: AbortSignal, waitMs: number): Promise<Publication>;
+    watch(revision: number, signal: AbortSignal, longPollMs: number): Promise<Publication>;
 }
 
-/** The platform did not answer, or not as agreed. */
+/** A call to the platform failed or its response was invalid. */
 export class PlatformError extends HarrierhitchError {
     readonly code: string = "platform";
 }
 
-/** The platform no longer knows what changed since a revision: everything must be read again. */
+/** The changes since a revision are no longer available; a full read is required. */
 export class HistoryLostError extends PlatformError {
     override readonly code = "history-lost";
 }
 
-/** Options that every platform is opened with. */
+/** Options for opening a platform. */
 export interface PlatformOptions {
-    /** Addresses as `IP:port`, tried in turn. */
+    /** Addresses as `IP:port`, tried in order. */
     readonly addresses: readonly string[];
     readonly configurationKey: string;
     readonly readTimeoutMs: number;
-    /** Called once for each call to the platform, for counting. */
+    /** Called for each call to the platform, for metrics. */
     readonly onCall: (kind: "read" | "watch") => void;
-    /** Told of an item that cannot be read, and is left out. */
+    /** Called for an item that cannot be parsed and is ignored. */
     readonly onInvalidItem: (key: string, revision: number | undefined, detail: string) => void;
 }
 
-/** Options of the syntax in which a platform publishes. */
+/** Options of a document parser. */
 export interface DocumentParserOptions {
-    /** Policies that every configuration may name. */
+    /** Policies that any configuration can refer to by name. */
     readonly policies: ReadonlyMap<string, ServicePolicy>;
 }
 
-/** Reads what the platform publishes. The result depends on the text alone, so that every instance judges it alike. */
+/** Parses published documents. Results depend only on the text, so all instances agree on them. */
 export interface DocumentParser {
-    /** Reads and checks a configuration. */
+    /** Parses and validates a configuration. */
     parseConfiguration(source: string, text: string): CheckResult<Configuration>;
-    /** Reads and checks a listed upstream. */
+    /** Parses and validates a discovered upstream. */
     parseUpstream(id: UpstreamId, text: string): CheckResult<DiscoveredUpstream>;
 }
 
-/** Everything in which one platform differs from another. */
+/** Everything that is specific to a platform. */
 export interface PlatformAdapter {
-    /** Opens the way to the platform. */
+    /** Opens a connection to the platform. */
     open(options: PlatformOptions): Platform;
-    /** Makes the reader of what it publishes. */
+    /** Creates the parser of its documents. */
     createParser(options: DocumentParserOptions): DocumentParser;
-    /** How callers and upstreams say things in headers. */
+    /** Headers that callers and upstreams use. */
     readonly headerProtocol: HeaderProtocol;
 }
--- a/packages/daemon/src/program.ts
+++ b/packages/daemon/src/program.ts
@@ -1,5 +1,5 @@
 /**
- * The program `harrierhitchd`.
+ * The command line program `harrierhitchd`.
  *
  * @packageDocumentation
  */
@@ -22,9 +22,9 @@
 /** Exit codes of the daemon. */
 export const exitCodes = { stopped: 0, failed: 1, settingsInvalid: 2 } as const;
 
-/** What a program built on the daemon brings along. */
+/** Options of a program built on the daemon. */
 export interface DaemonProgramOptions {
-    /** The platform it runs on; harrierhitch's own without one. */
+    /** Integration with the platform; the built-in one by default. */
     readonly adapter?: PlatformAdapter;
 }
 
@@ -49,7 +49,7 @@
 
 const runDaemon = async (file: string, { adapter }: DaemonProgramOptions): Promise<void> => {
     try {
-        const settings = accept(checkSettings(file, readFileSync(file, "utf8")));
+        const settings = valueOrThrow(checkSettings(file, readFileSync(file, "utf8")));
         const policies = readPolicies(settings);
         const daemon = new Daemon({ settings, policies, ...(adapter && { adapter }) });
         await daemon.start();
@@ -66,19 +66,19 @@
 };
 
 const readPolicies = ({ policies }: Settings): ReadonlyMap<string, ServicePolicy> =>
-    policies.file === undefined ? new Map() : accept(checkPolicyFile(policies.file, readFileSync(policies.file, "utf8")));
+    policies.file === undefined ? new Map() : valueOrThrow(checkPolicyFile(policies.file, readFileSync(policies.file, "utf8")));
 
-/** Reads the settings again; what cannot be read leaves the last good ones in force. */
+/** Reads the settings again; if they are invalid, the previous ones remain in effect. */
 const reload = (file: string, daemon: Daemon): void => {
     try {
-        daemon.reload(accept(checkSettings(file, readFileSync(file, "utf8"))));
+        daemon.reload(valueOrThrow(checkSettings(file, readFileSync(file, "utf8"))));
     }
     catch (thrown) {
         daemon.reloadFailed(asError(thrown));
     }
 };
 
-const accept = <Value>(checked: CheckResult<Value>): Value => {
+const valueOrThrow = <Value>(checked: CheckResult<Value>): Value => {
     if (checked.value === undefined) {
         throw new InvalidDocumentError(checked.findings);
     }
@@ -86,10 +86,10 @@
 };
 
 /**
- * Runs the daemon's program.
+ * Runs the daemon's command line program.
  *
  * @param args - Arguments without the program's name.
- * @param options - What the program brings along.
+ * @param options - Options of the program.
  */
 export const runDaemonProgram = (args: readonly string[], options: DaemonProgramOptions = {}): Promise<void> =>
     runMain(command(options), { rawArgs: [...args] });
--- a/packages/daemon/src/stall-detector.ts
+++ b/packages/daemon/src/stall-detector.ts
@@ -1,5 +1,5 @@
 /**
- * Noticing that this process slept.
+ * Detects suspends of the process and stalls of its event loop.
  *
  * @packageDocumentation
  */
@@ -9,45 +9,42 @@
 /** Options of {@link StallDetector}. */
 export interface StallDetectorOptions {
     readonly clock: Clock;
-    /** Told how long the process slept, before any other overdue work is done. */
-    readonly onStall: (sleptMs: number) => void;
+    /** Called with the duration of a stall, before other overdue work runs. */
+    readonly onStall: (stallMs: number) => void;
 }
 
-/** Time between two looks at the clock. */
-const tickMs = 50;
+/** Interval between checks, in milliseconds. */
+const checkIntervalMs = 50;
 
-/** A tick that is this late counts as sleep. */
-const minimumSleepMs = 100;
+/** Delay from which a late check counts as a stall, in milliseconds. */
+const minimumStallMs = 100;
 
 /**
- * Looks at the monotonic clock at short intervals; a look that comes much too
- * late shows that the process was paused or its event loop starved.
+ * Checks the monotonic clock at short intervals; a late check means that the process was suspended or its event loop
+ * was blocked.
  */
 export class StallDetector {
     private timer: Timer | undefined;
     private dueAtMs = 0;
 
-    /** @param options - Clock and what to do on waking. */
+    /** @param options - Clock and callback. */
     constructor(private readonly options: StallDetectorOptions) {}
 
-    /** Begins to look. */
+    /** Starts the periodic checks. */
     start(): void {
         this.schedule();
     }
 
-    /** Ends looking. */
+    /** Stops the periodic checks. */
     stop(): void {
         this.timer?.cancel();
         this.timer = undefined;
     }
 
-    /**
-     * Looks now, as each request does on arrival, so that no request is decided
-     * on beliefs from before a pause.
-     */
+    /** Checks now. Each arriving request calls this, so that no decision uses estimates from before a stall. */
     check(): void {
         const lateMs = this.options.clock.nowMs() - this.dueAtMs;
-        if (this.timer !== undefined && lateMs > minimumSleepMs) {
+        if (this.timer !== undefined && lateMs > minimumStallMs) {
             this.timer.cancel();
             this.schedule();
             this.options.onStall(lateMs);
@@ -56,8 +53,8 @@
 
     private schedule(): void {
         const { clock } = this.options;
-        this.dueAtMs = clock.nowMs() + tickMs;
-        this.timer = clock.after(tickMs, () => {
+        this.dueAtMs = clock.nowMs() + checkIntervalMs;
+        this.timer = clock.after(checkIntervalMs, () => {
             this.check();
             this.timer?.cancel();
             this.schedule();
--- a/packages/daemon/src/stall-recovery.ts
+++ b/packages/daemon/src/stall-recovery.ts
@@ -1,5 +1,5 @@
 /**
- * What an instance does after its process slept.
+ * Refreshes an instance's state after a stall.
  *
  * @packageDocumentation
  */
@@ -14,33 +14,33 @@
 export interface StallRecoveryOptions {
     readonly log: EventLog;
     readonly transport: UpstreamTransport;
-    /** This instance's part in the fleet; `undefined` while it works alone. */
+    /** The fleet; `undefined` while the instance is standalone. */
     readonly fleet: () => Fleet | undefined;
 }
 
-/** Brings up to date what time made doubtful, after a process slept or its machine was suspended. */
+/** Refreshes state that may be outdated after the process was stalled or its machine suspended. */
 export class StallRecovery {
     private refreshing: Promise<unknown> | undefined;
 
-    /** @param options - What is brought up to date. */
+    /** @param options - What to refresh. */
     constructor(private readonly options: StallRecoveryOptions) {}
 
-    /** Fulfilled when a refresh that is under way has ended; `undefined` while there is none. */
+    /** Fulfilled when the running refresh has completed; `undefined` if none is running. */
     get done(): Promise<unknown> | undefined {
         return this.refreshing;
     }
 
     /**
-     * Begins to refresh.
+     * Starts a refresh.
      *
-     * @param sleptMs - How long the process slept.
+     * @param stallMs - Duration of the stall, in milliseconds.
      */
-    start(sleptMs: number): void {
+    start(stallMs: number): void {
         const { log, transport } = this.options;
         const fleet = this.options.fleet();
-        log.write(events.wokeLate, { sleptMs });
-        fleet?.resumeAfterStall(sleptMs);
-        if (sleptMs < minimumRefreshStallMs) {
+        log.write(events.wokeLate, { sleptMs: stallMs });
+        fleet?.resumeAfterStall(stallMs);
+        if (stallMs < minimumRefreshStallMs) {
             return;
         }
         transport.closeIdle();
--- a/packages/daemon/src/startup-gate.ts
+++ b/packages/daemon/src/startup-gate.ts
@@ -1,50 +1,44 @@
 /**
- * Waiting for the first answer of the platform.
+ * Delays requests until the platform's first response.
  *
  * @packageDocumentation
  */
 
 import type { Clock } from "@harrierhitch/core";
 
-/** Longest wait: as long as the platform may take for one answer by the settings that are shipped. */
-const longestWaitMs = 500;
+/** Longest wait of a request, in milliseconds; matches the platform's usual read timeout. */
+const maximumWaitMs = 500;
 
-/** Requests that wait at most; they hold little, but their number is the callers' choice. */
-const maximumWaiting = 500;
+/** Maximum number of waiting requests; further ones do not wait. */
+const maximumWaiters = 500;
 
-/**
- * Lets requests wait for the first answer of the platform.
- *
- * Load pattern: all instances lost power, and their callers try again while they start. An instance listens some tens of
- * milliseconds before it knows a configuration; whoever was refused then came back a second later, too late for its
- * target. A request waits only while the first call is under way: when it fails, requests are refused at once.
- */
+/** Lets requests that arrive during startup wait for the platform's first response, or until its first call fails. */
 export class StartupGate {
-    private readonly waiting = new Set<() => void>();
-    private hasEnded = false;
+    private readonly waiters = new Set<() => void>();
+    private isOpen = false;
 
-    /** @param clock - The clock for the limit. */
+    /** @param clock - Clock for the time limit. */
     constructor(private readonly clock: Clock) {}
 
-    /** Notes that the first call has ended, well or not. */
+    /** Releases all waiting requests; called when the first call to the platform has succeeded or failed. */
     open(): void {
-        this.hasEnded = true;
-        this.waiting.forEach(finish => finish());
+        this.isOpen = true;
+        this.waiters.forEach(release => release());
     }
 
-    /** Waits until the first call has ended; for a limited time, and not at all where it has or too many wait. */
+    /** Waits until the gate is open or the time limit has passed; returns at once if too many requests wait. */
     wait(): Promise<void> {
-        if (this.hasEnded || this.waiting.size >= maximumWaiting) {
+        if (this.isOpen || this.waiters.size >= maximumWaiters) {
             return Promise.resolve();
         }
         return new Promise(resolve => {
-            const finish = (): void => {
+            const release = (): void => {
                 timer.cancel();
-                this.waiting.delete(finish);
+                this.waiters.delete(release);
                 resolve();
             };
-            const timer = this.clock.after(longestWaitMs, finish);
-            this.waiting.add(finish);
+            const timer = this.clock.after(maximumWaitMs, release);
+            this.waiters.add(release);
         });
     }
 }
--- a/packages/daemon/src/telemetry/event-log.ts
+++ b/packages/daemon/src/telemetry/event-log.ts
@@ -1,5 +1,5 @@
 /**
- * The log of numbered events.
+ * Structured log of numbered events.
  *
  * @packageDocumentation
  */
@@ -17,41 +17,41 @@
 export interface EventLogOptions {
     /** Lowest level that is written. */
     readonly level: string;
-    /** Fields of every event, for example the instance. */
+    /** Fields of every event, for example the instance's id. */
     readonly base?: EventFields;
-    /** Most lines a second; warnings and errors may use as many again. */
+    /** Maximum number of lines per second; warnings and errors may use twice as many. */
     readonly linesPerSecond?: number;
     readonly clock?: Clock;
-    /** Where lines go; standard output, written in the background, without one. */
+    /** Destination of the lines; by default standard output, written asynchronously. */
     readonly destination?: DestinationStream;
-    /** Told of lines that were dropped. */
+    /** Called with the number of dropped lines. */
     readonly onDropped?: (lines: number) => void;
 }
 
 const defaultLinesPerSecond = 200;
 
-/** Length of the spans of time in which lines are counted. */
+/** Window in which lines are counted, in milliseconds. */
 const windowMs = 1000;
 
-/** Most bytes that wait to be written: a reader of standard output that stalls costs lines, not time. */
-const maximumWaitingBytes = 1_048_576;
+/** Maximum size of the output buffer, in bytes; lines beyond it are dropped if standard output is not read. */
+const maximumBufferBytes = 1_048_576;
 
-/** Bytes that are gathered before they are written: each write costs a small instance as much as several lines. */
-const gatheredBytes = 4096;
+/** Bytes that are buffered before a write, to reduce system calls. */
+const bufferedBytes = 4096;
 
-/** Longest time for which lines are gathered; so much of the log is lost with a process that is killed. */
-const gatheredMs = 500;
+/** Longest time for which lines are buffered, in milliseconds; a killed process loses them. */
+const flushIntervalMs = 500;
 
-/** Writes events as JSON, one object a line; it never blocks and drops lines rather than growing. */
+/** Writes events as JSON, one object per line. Never blocks; lines beyond the limits are dropped. */
 export class EventLog {
     private readonly logger: Logger;
     private readonly clock: Clock;
     private readonly linesPerSecond: number;
-    private windowAtMs = -Infinity;
+    private windowStartMs = -Infinity;
     private lines = 0;
     private dropped = 0;
 
-    /** @param options - Level, bounds and destination. */
+    /** @param options - Level, limits and destination. */
     constructor(private readonly options: EventLogOptions) {
         this.clock = options.clock ?? new SystemClock();
         this.linesPerSecond = options.linesPerSecond ?? defaultLinesPerSecond;
@@ -62,12 +62,12 @@
             : pino(settings, options.destination);
     }
 
-    /** Writes one event, unless the second is full. */
+    /** Writes an event unless the rate limit is reached. */
     write(kind: EventKind, fields: EventFields = {}): void {
         if (!this.logger.isLevelEnabled(kind.level)) {
             return;
         }
-        this.turnWindow();
+        this.advanceWindow();
         const isUrgent = kind.level === "warn" || kind.level === "error";
         this.lines += 1;
         if (this.lines > this.linesPerSecond * (isUrgent ? 2 : 1)) {
@@ -77,12 +77,12 @@
         this.logger[kind.level]({ event: kind.number, ...fields }, kind.message);
     }
 
-    private turnWindow(): void {
+    private advanceWindow(): void {
         const nowMs = this.clock.nowMs();
-        if (nowMs - this.windowAtMs < windowMs) {
+        if (nowMs - this.windowStartMs < windowMs) {
             return;
         }
-        this.windowAtMs = nowMs;
+        this.windowStartMs = nowMs;
         this.lines = 0;
         if (this.dropped > 0) {
             const { dropped } = this;
@@ -100,9 +100,9 @@
         const output = pino.destination({
             dest: 1,
             sync: false,
-            maxLength: maximumWaitingBytes,
-            minLength: gatheredBytes,
-            periodicFlush: gatheredMs,
+            maxLength: maximumBufferBytes,
+            minLength: bufferedBytes,
+            periodicFlush: flushIntervalMs,
         });
         output.on("drop", () => this.drop(1));
         return output;
@@ -112,9 +112,9 @@
 /**
  * Opens the log of a daemon.
  *
- * @param settings - Its settings.
- * @param clock - The clock by which lines are counted.
- * @param metrics - Where dropped lines are counted.
+ * @param settings - The daemon's settings.
+ * @param clock - Clock for the rate limit.
+ * @param metrics - Counts dropped lines.
  */
 export const openLog = ({ instance, log }: Settings, clock: Clock, metrics: Metrics): EventLog =>
     new EventLog({
--- a/packages/daemon/src/telemetry/rate-limit-log.ts
+++ b/packages/daemon/src/telemetry/rate-limit-log.ts
@@ -1,5 +1,5 @@
 /**
- * Telling that upstreams were left out because of the limits that they name.
+ * Rate-limited logging of upstreams excluded because of their rate limits.
  *
  * @packageDocumentation
  */
@@ -17,52 +17,55 @@
     readonly metrics: Metrics;
 }
 
-interface Told {
+interface LoggedUpstream {
     readonly atMs: number;
-    leftOut: number;
+    suppressed: number;
 }
 
-/** Shortest time between two lines on one upstream, in milliseconds: hundreds of decisions a second may leave it out. */
-const gapMs = 1000;
+/** Minimum interval between two lines about the same upstream, in milliseconds. */
+const minimumIntervalMs = 1000;
 
-/** Most upstreams that are kept. */
-const maximumKept = 1024;
+/** Maximum number of tracked upstreams. */
+const maximumEntries = 1024;
 
-/** Counts decisions that left an upstream out, and writes one bounded line on each such upstream. */
+/** Counts decisions that excluded upstreams because of their rate limits, and logs each upstream at a limited rate. */
 export class RateLimitLog {
-    private readonly told = new Map<string, Told>();
+    private readonly logged = new Map<string, LoggedUpstream>();
 
     /** @param options - Clock, log and counters. */
     constructor(private readonly options: RateLimitLogOptions) {}
 
-    /** Notes a decision. */
+    /** Records the exclusions of a decision. */
     record(service: ServiceName, { upstreams }: DecisionInput, { exclusions }: Decision): void {
         upstreams.forEach((facts, index) => {
             if (exclusions[index] === "limited") {
                 this.options.metrics.upstreamsRateLimited.inc({ service });
-                this.tell(service, facts);
+                this.logExclusion(service, facts);
             }
         });
     }
 
-    private tell(service: ServiceName, { id, takesPerSecond, shareGapMs, shareInMs }: DecisionInput["upstreams"][number]): void {
+    private logExclusion(
+        service: ServiceName,
+        { id, takesPerSecond, shareGapMs, shareInMs }: DecisionInput["upstreams"][number],
+    ): void {
         const { clock, log } = this.options;
         const nowMs = clock.nowMs();
-        const before = this.told.get(id);
-        if (before !== undefined && nowMs - before.atMs < gapMs) {
-            before.leftOut += 1;
+        const previous = this.logged.get(id);
+        if (previous !== undefined && nowMs - previous.atMs < minimumIntervalMs) {
+            previous.suppressed += 1;
             return;
         }
-        this.told.delete(id);
-        this.told.set(id, { atMs: nowMs, leftOut: 0 });
-        [...this.told.keys()].slice(0, Math.max(0, this.told.size - maximumKept)).forEach(old => this.told.delete(old));
+        this.logged.delete(id);
+        this.logged.set(id, { atMs: nowMs, suppressed: 0 });
+        [...this.logged.keys()].slice(0, Math.max(0, this.logged.size - maximumEntries)).forEach(old => this.logged.delete(old));
         log.write(events.leftOutLimited, {
             service,
             upstream: id,
             perSecond: takesPerSecond,
             gapMs: Math.round(shareGapMs),
             nextInMs: Math.round(shareInMs),
-            leftOut: 1 + (before?.leftOut ?? 0),
+            leftOut: 1 + (previous?.suppressed ?? 0),
         });
     }
 }
--- a/packages/daemon/src/telemetry/span-queue.ts
+++ b/packages/daemon/src/telemetry/span-queue.ts
@@ -1,5 +1,5 @@
 /**
- * The bounded queue of spans that wait for export.
+ * Bounded queue of spans waiting for export.
  *
  * @packageDocumentation
  */
@@ -12,38 +12,38 @@
 export interface SpanQueueOptions {
     readonly clock: Clock;
     readonly exporter: SpanExporter;
-    /** Most spans that wait; further ones are dropped. */
+    /** Maximum number of waiting spans; further ones are dropped. */
     readonly maximumSpans: number;
-    /** Told of spans that were dropped or could not be exported. */
+    /** Called with the number of spans that were dropped or could not be exported. */
     readonly onDropped: (spans: number) => void;
 }
 
-/** Time for which spans are gathered. */
-const gatherMs = 1000;
+/** Time for which spans are collected before an export, in milliseconds. */
+const flushIntervalMs = 1000;
 
-/** Most spans in one export. */
+/** Maximum number of spans per export. */
 const batchSpans = 512;
 
-/** Exports spans in batches, one at a time; a slow receiver never slows a request. */
+/** Exports spans in batches, one at a time. A slow receiver never delays requests. */
 export class SpanQueue {
-    private waiting: ReadableSpan[] = [];
+    private queued: ReadableSpan[] = [];
     private timer: Timer | undefined;
     private exporting = false;
 
-    /** @param options - Exporter and bounds. */
+    /** @param options - Exporter and limits. */
     constructor(private readonly options: SpanQueueOptions) {}
 
-    /** Takes the spans of one request, all or none. */
+    /** Adds the spans of one request, all or none. */
     add(spans: readonly ReadableSpan[]): void {
-        if (this.waiting.length + spans.length > this.options.maximumSpans) {
+        if (this.queued.length + spans.length > this.options.maximumSpans) {
             this.options.onDropped(spans.length);
             return;
         }
-        this.waiting.push(...spans);
+        this.queued.push(...spans);
         this.schedule();
     }
 
-    /** Exports what waits and closes the exporter. */
+    /** Exports the waiting spans and shuts the exporter down. */
     async close(): Promise<void> {
         this.timer?.cancel();
         this.flush();
@@ -52,13 +52,13 @@
 
     private schedule(): void {
         if (this.timer === undefined && !this.exporting) {
-            this.timer = this.options.clock.after(gatherMs, () => this.flush());
+            this.timer = this.options.clock.after(flushIntervalMs, () => this.flush());
         }
     }
 
     private flush(): void {
         this.timer = undefined;
-        const batch = this.waiting.splice(0, batchSpans);
+        const batch = this.queued.splice(0, batchSpans);
         if (batch.length === 0 || this.exporting) {
             return;
         }
@@ -68,7 +68,7 @@
             if (result.code !== ExportResultCode.SUCCESS) {
                 this.options.onDropped(batch.length);
             }
-            if (this.waiting.length > 0) {
+            if (this.queued.length > 0) {
                 this.schedule();
             }
         });
--- a/packages/daemon/src/telemetry/spans.ts
+++ b/packages/daemon/src/telemetry/spans.ts
@@ -1,6 +1,5 @@
 /**
- * The spans of one request, made from its record after it was answered, so that
- * tracing costs the request nothing.
+ * Builds a request's spans from its decision record after the response, so that tracing adds no latency.
  *
  * @packageDocumentation
  */
@@ -25,11 +24,10 @@
 }
 
 /**
- * Makes a span for the acceptance, one for each decision and each hold, and one
- * for each attempt.
+ * Creates a span for the request, one for each decision and each hold, and one for each attempt.
  *
- * @param record - The record of a request that was answered.
- * @param resource - What the spans say of this process.
+ * @param record - The record of a completed request.
+ * @param resource - Attributes of this process.
  */
 export const toSpans = (record: DecisionRecord, resource: Resource): readonly ReadableSpan[] => {
     const parts = [
@@ -86,8 +84,8 @@
         return [decide];
     }
     const endMs = record.steps[index + 1]?.atMs ?? record.durationMs ?? atMs;
-    const held = { "harrierhitch.cause": decision.cause };
-    return [decide, { ...common, name: "hold", spanId: newSpanId(), startMs: atMs + tookMs, endMs, attributes: held }];
+    const holdAttributes = { "harrierhitch.cause": decision.cause };
+    return [decide, { ...common, name: "hold", spanId: newSpanId(), startMs: atMs + tookMs, endMs, attributes: holdAttributes }];
 };
 
 const attemptParts = (record: DecisionRecord, attempt: AttemptRecord): SpanParts => ({
--- a/packages/daemon/src/telemetry/telemetry.ts
+++ b/packages/daemon/src/telemetry/telemetry.ts
@@ -1,5 +1,5 @@
 /**
- * What an instance tells in its log and its metrics.
+ * Log events and metrics of an instance.
  *
  * @packageDocumentation
  */
@@ -16,15 +16,15 @@
 import { events } from "./event.js";
 import type { Metrics } from "./metrics.js";
 
-/** Writes events and counts. */
+/** Writes log events and updates metrics. */
 export class Telemetry {
     /**
-     * @param log - Takes events.
-     * @param metrics - Takes counts.
+     * @param log - Receives events.
+     * @param metrics - Receives counts.
      */
     constructor(private readonly log: EventLog, private readonly metrics: Metrics) {}
 
-    /** Tells what became of an offered configuration. */
+    /** Logs the result of applying a configuration. */
     configurationProcessed(source: string, result: ApplyResult, before: Generation | undefined): void {
         switch (result.type) {
             case "accepted":
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Tells of an attempt that has ended, with what the choice was made by. */
+    /** Counts and logs a completed attempt, with the facts that led to the selection of its upstream. */
     attemptEnded(record: DecisionRecord, attempt: AttemptRecord): void {
         const service = record.route.service.name;
         const { result, upstream, outcome, startedMs, endedMs } = attempt;
@@ -76,52 +76,52 @@
                 reportedInFlight: facts.reportedInFlight,
                 slowness: facts.slowness,
                 reportAgeMs: Math.round(facts.reportAgeMs),
-                expectedInFlight: rounded(facts.expectedInFlight),
+                expectedInFlight: roundToThousandths(facts.expectedInFlight),
                 bestInFlight: facts.bestInFlight,
-                expectedSlowness: rounded(facts.expectedSlowness),
-                crowding: rounded(facts.crowding),
-                failureRate: rounded(facts.failureRate),
-                score: rounded(step?.decision.scores[index] ?? 0),
+                expectedSlowness: roundToThousandths(facts.expectedSlowness),
+                crowding: roundToThousandths(facts.crowding),
+                failureRate: roundToThousandths(facts.failureRate),
+                score: roundToThousandths(step?.decision.scores[index] ?? 0),
                 isTrial: step?.isExploration === true ? true : undefined,
             },
         });
     }
 
-    /** Tells what an upstream asked of this instance in the head of an answer. */
+    /** Counts and logs a notice that an upstream sent in its response headers. */
     noticeReceived({ service, upstream, notice, request }: ReceivedNotice): void {
-        const { draining: leaving, backoffMs: restMs, limit, invalidRetryAfter: unreadable } = notice;
-        const from = { service, upstream: upstream.id, startedAtMs: upstream.startedAtMs, request };
+        const { draining, backoffMs, limit, invalidRetryAfter } = notice;
+        const source = { service, upstream: upstream.id, startedAtMs: upstream.startedAtMs, request };
         const count = (name: string): void => this.metrics.upstreamNotices.inc({ service, notice: name });
-        if (leaving) {
+        if (draining) {
             count("leaving");
         }
-        if (restMs !== undefined) {
+        if (backoffMs !== undefined) {
             count("rest");
         }
-        if (leaving || restMs !== undefined) {
-            this.log.write(events.noticeHeard, { ...from, leaving, restMs });
+        if (draining || backoffMs !== undefined) {
+            this.log.write(events.noticeHeard, { ...source, leaving: draining, restMs: backoffMs });
         }
         if (limit.type === "named") {
             count("limit");
         }
         if (limit.type === "unreadable") {
             count("unreadable-limit");
-            this.log.write(events.limitUnreadable, { ...from, text: limit.text });
+            this.log.write(events.limitUnreadable, { ...source, text: limit.text });
         }
-        if (unreadable !== undefined) {
+        if (invalidRetryAfter !== undefined) {
             count("unreadable");
-            this.log.write(events.retryAfterUnreadable, { ...from, text: unreadable });
+            this.log.write(events.retryAfterUnreadable, { ...source, text: invalidRetryAfter });
         }
     }
 
     /**
-     * Tells of a limit that an upstream named, changed or took back, whoever heard it.
+     * Logs that an upstream's rate limit was announced, changed or withdrawn, whichever instance received the notice.
      *
-     * @param change - What changed.
-     * @param pace - How fast this instance may send there now; `undefined` where no limit holds.
+     * @param change - The change.
+     * @param pace - Rate at which this instance may send now; `undefined` if there is no limit.
      */
-    limitChanged({ upstream, startedAtMs, before, notice: word }: LimitChange, pace: LimitPace | undefined): void {
-        const { perSecond, sinceUnixMs, saidAtUnixMs, heardBy } = word;
+    limitChanged({ upstream, startedAtMs, before, notice }: LimitChange, pace: LimitPace | undefined): void {
+        const { perSecond, sinceUnixMs, saidAtUnixMs, heardBy } = notice;
         this.log.write(events.limitChanged, {
             upstream,
             startedAtMs,
@@ -136,7 +136,7 @@
         });
     }
 
-    /** Counts a request that was answered. */
+    /** Counts and logs a completed request. */
     requestServed(record: DecisionRecord): void {
         const { route } = record;
         const labels = { service: route.service.name, kind: route.kind.name };
@@ -151,16 +151,13 @@
         this.log.write(events.requestServed, { request: id, route: route.name, outcome, status, durationMs });
     }
 
-    /** Tells of a request that no route matches. */
+    /** Counts and logs a request that matches no route. */
     requestUnrouted(request: IncomingMessage, path: string, generation: Generation): void {
         this.metrics.problems.inc({ problem: "no-route" });
         this.log.write(events.requestUnrouted, { method: request.method, host: request.headers.host, path, generation });
     }
 
-    /**
-     * Tells what the first read brought, in one line: a line for each of hundreds took a start longer, and the limit of
-     * lines then dropped the one on the configuration.
-     */
+    /** Logs the initial directory in a single event, because one event per entry could exceed the log's rate limit. */
     directoryRead({ upstreams, revision }: Pick<UpstreamDirectory, "upstreams" | "revision">): void {
         const ids = Object.fromEntries(
             [...new Set(upstreams.map(({ service }) => service))].map(
@@ -170,9 +167,9 @@
         this.log.write(events.listingsRead, { revision, upstreams: ids });
     }
 
-    /** Tells of a listed upstream that came, changed or went. */
+    /** Logs a directory entry that was added, changed or removed. */
     entryChanged({ upstream, before, after, revision }: DirectoryChange): void {
-        if (listingState(before) === listingState(after)) {
+        if (entryState(before) === entryState(after)) {
             return;
         }
         const { service, address, port, availabilityZone } = after ?? before ?? {};
@@ -181,27 +178,34 @@
             service,
             address: `${address}:${port}`,
             availabilityZone,
-            before: listingState(before),
-            after: listingState(after),
+            before: entryState(before),
+            after: entryState(after),
             revision,
         });
     }
 
-    /** Tells of an availability zone that was taken out of service or put back. */
+    /** Logs an availability zone that was taken out of service or put back. */
     zoneChanged({ availabilityZone, isOut, revision }: ZoneStatus): void {
         this.log.write(events.zoneChanged, { availabilityZone, after: isOut ? "out of service" : "in service", revision });
     }
 
-    /** Tells of a change of an upstream's believed state. */
+    /** Counts and logs a state change of an upstream. */
     stateChanged({ service, upstream, before, after }: StateChange): void {
         this.metrics.stateChanges.inc({ service, state: after.state });
-        const { failureRate, consecutiveFailures: failuresInRow } = after;
-        const fields = { service, upstream, before: before.state, after: after.state, failureRate, failuresInRow };
+        const { failureRate, consecutiveFailures } = after;
+        const fields = {
+            service,
+            upstream,
+            before: before.state,
+            after: after.state,
+            failureRate,
+            failuresInRow: consecutiveFailures,
+        };
         this.log.write(events.upstreamStateChanged, fields);
     }
 }
 
-const listingState = (upstream: DirectoryChange["after"]): string =>
+const entryState = (upstream: DirectoryChange["after"]): string =>
     upstream === undefined ? "absent" : upstream.draining ? "leaving" : "ready";
 
-const rounded = (value: number): number => Math.round(value * 1000) / 1000;
+const roundToThousandths = (value: number): number => Math.round(value * 1000) / 1000;
--- a/packages/daemon/src/telemetry/threshold-log.ts
+++ b/packages/daemon/src/telemetry/threshold-log.ts
@@ -1,5 +1,5 @@
 /**
- * One bounded log line on something that is usual now and then and tells of a fault when it keeps on.
+ * Logs a condition only when it occurs frequently.
  *
  * @packageDocumentation
  */
@@ -13,31 +13,31 @@
     readonly clock: Clock;
     readonly log: EventLog;
     readonly event: EventKind;
-    /** Occurrences within the interval from which a line is written. */
+    /** Number of occurrences within the interval from which an event is logged. */
     readonly threshold: number;
-    /** Time in which they are counted, and in which one line is written at most, in milliseconds. */
+    /** Interval in which occurrences are counted and at most one event is logged, in milliseconds. */
     readonly intervalMs: number;
 }
 
-/** Counts occurrences, and writes a line when there are many in a short time. */
+/** Counts occurrences and logs one event per interval if they reach a threshold. */
 export class ThresholdLog {
-    private beganAtMs = -Infinity;
+    private intervalStartMs = -Infinity;
     private count = 0;
 
-    /** @param options - What is counted, and how many are many. */
+    /** @param options - The event and its threshold. */
     constructor(private readonly options: ThresholdLogOptions) {}
 
-    /** Notes one occurrence. */
+    /** Records an occurrence. */
     record(): void {
         const { clock, log, event, threshold, intervalMs } = this.options;
         const nowMs = clock.nowMs();
-        if (nowMs - this.beganAtMs >= intervalMs) {
-            this.beganAtMs = nowMs;
+        if (nowMs - this.intervalStartMs >= intervalMs) {
+            this.intervalStartMs = nowMs;
             this.count = 0;
         }
         this.count += 1;
         if (this.count === threshold) {
-            log.write(event, { count: threshold, withinMs: Math.round(nowMs - this.beganAtMs) });
+            log.write(event, { count: threshold, withinMs: Math.round(nowMs - this.intervalStartMs) });
         }
     }
 }
--- a/packages/daemon/src/telemetry/trace-context.ts
+++ b/packages/daemon/src/telemetry/trace-context.ts
@@ -1,26 +1,26 @@
 /**
- * W3C trace context of one request.
+ * W3C trace context of a request.
  *
  * @packageDocumentation
  */
 
 import { parseTraceParent } from "@opentelemetry/core";
 
-/** The place of one request in a trace. */
+/** Position of a request in its trace. */
 export interface TraceContext {
     readonly traceId: string;
-    /** Span of this hop. */
+    /** Id of this hop's span. */
     readonly spanId: string;
-    /** Span of the caller; empty without one. */
+    /** Id of the caller's span; empty if there is none. */
     readonly parentSpanId: string;
     readonly sampled: boolean;
 }
 
 /**
- * Continues the caller's trace, or begins one.
+ * Continues the caller's trace, or starts a new one.
  *
- * @param header - Value of `traceparent`, if one arrived.
- * @param sample - Decides whether a trace that begins here is recorded.
+ * @param header - Value of `traceparent`, if present.
+ * @param sample - Decides whether a new trace is recorded.
  */
 export const continueTrace = (header: string | string[] | undefined, sample: () => boolean): TraceContext => {
     const parent = typeof header === "string" ? parseTraceParent(header) : null;
@@ -32,22 +32,19 @@
     };
 };
 
-/** A new span's id. */
+/** Generates a span id. */
 export const newSpanId = (): string => randomHex(8);
 
-/** The header `traceparent` that names a span of this trace as the parent. */
+/** Formats the `traceparent` header with a span of this trace as the parent. */
 export const toTraceparent = (trace: TraceContext, spanId: string): string =>
     `00-${trace.traceId}-${spanId}-${trace.sampled ? "01" : "00"}`;
 
-/** Bytes that one draw makes. */
-const drawnBytes = 4;
+/** Bytes generated from one random number. */
+const bytesPerNumber = 4;
 
-/**
- * Ids of traces have to differ, not to be secret; so they need no cryptography, which an instance that starts would have to
- * load before its first answer (29 of 333 ms of a start, profiles of three starts).
- */
+/** Trace ids must be unique but not secret; avoiding `node:crypto` speeds up startup. */
 const randomHex = (bytes: number): string =>
     Array.from(
-        { length: bytes / drawnBytes },
-        () => Math.floor(Math.random() * 2 ** (8 * drawnBytes)).toString(16).padStart(2 * drawnBytes, "0"),
+        { length: bytes / bytesPerNumber },
+        () => Math.floor(Math.random() * 2 ** (8 * bytesPerNumber)).toString(16).padStart(2 * bytesPerNumber, "0"),
     ).join("");
--- a/packages/daemon/src/telemetry/tracing.ts
+++ b/packages/daemon/src/telemetry/tracing.ts
@@ -1,5 +1,5 @@
 /**
- * Tracing by OTLP over HTTP, where the settings ask for it.
+ * Trace export with OTLP over HTTP.
  *
  * @packageDocumentation
  */
@@ -13,21 +13,21 @@
 import { SpanQueue } from "./span-queue.js";
 import { toSpans } from "./spans.js";
 
-/** Exports the spans of requests that are traced. */
+/** Exports the spans of traced requests. */
 export interface Tracing {
-    /** Takes the record of a traced request that was answered. */
+    /** Queues the spans of a completed request. */
     add(record: DecisionRecord): void;
-    /** Exports what waits. */
+    /** Exports the queued spans and stops. */
     close(): Promise<void>;
 }
 
 /**
- * Opens the export of traces.
+ * Starts the export of traces.
  *
  * @param settings - Settings of the daemon.
- * @param clock - The clock for batches.
- * @param onDropped - Told of spans that were dropped.
- * @returns The export, or `undefined` when the settings name no receiver.
+ * @param clock - Clock for batches.
+ * @param onDropped - Called with the number of dropped spans.
+ * @returns The export, or `undefined` if no receiver is configured.
  */
 export const openTracing = (settings: Settings, clock: Clock, onDropped: (spans: number) => void): Tracing | undefined => {
     const { otlpUrl, queueSpans } = settings.traces;
--- a/packages/daemon/src/upstream/check-port.ts
+++ b/packages/daemon/src/upstream/check-port.ts
@@ -1,5 +1,5 @@
 /**
- * Looking whether anyone listens at an upstream's address.
+ * Checks whether a process listens at an upstream's address.
  *
  * @packageDocumentation
  */
@@ -8,32 +8,32 @@
 import { connect } from "node:net";
 
 /**
- * What a look at a port shows.
+ * Result of a port check.
  *
- * - `open`: a connection came up.
- * - `closed`: the machine refused it: no process listens there.
- * - `silent`: nothing came back in time, which proves nothing.
+ * - `open`: the connection was established.
+ * - `closed`: the connection was refused, so no process listens there.
+ * - `silent`: no response in time; the state is unknown.
  */
 export type PortState = "open" | "closed" | "silent";
 
-/** Time for which the machine is given to answer, in milliseconds: many round trips, and less than callers notice. */
-const patienceMs = 100;
+/** Connect timeout, in milliseconds. */
+const connectTimeoutMs = 100;
 
 /**
- * Opens a connection and closes it at once, without asking for anything.
+ * Opens a connection and closes it at once without sending a request.
  *
- * @param upstream - Where to look.
- * @returns What the look shows; never rejects.
+ * @param upstream - The upstream to check.
+ * @returns The state of its port; never rejects.
  */
 export const checkPort = ({ address, port }: Upstream): Promise<PortState> =>
     new Promise(resolve => {
         const socket = connect({ host: address, port });
-        const end = (state: PortState): void => {
+        const finish = (state: PortState): void => {
             clearTimeout(timer);
             socket.destroy();
             resolve(state);
         };
-        const timer = setTimeout(() => end("silent"), patienceMs);
-        socket.once("connect", () => end("open"));
-        socket.on("error", (error: NodeJS.ErrnoException) => end(error.code === "ECONNREFUSED" ? "closed" : "silent"));
+        const timer = setTimeout(() => finish("silent"), connectTimeoutMs);
+        socket.once("connect", () => finish("open"));
+        socket.on("error", (error: NodeJS.ErrnoException) => finish(error.code === "ECONNREFUSED" ? "closed" : "silent"));
     });
--- a/packages/daemon/src/upstream/create-service-registry.ts
+++ b/packages/daemon/src/upstream/create-service-registry.ts
@@ -1,5 +1,5 @@
 /**
- * Opening the state of all services, with what bounds requests to upstreams across instances.
+ * Creates the service registry with its admission control across instances.
  *
  * @packageDocumentation
  */
@@ -19,21 +19,21 @@
     readonly telemetry: Telemetry;
 }
 
-/** The state of all services, and what it shares with other instances. */
+/** The service registry and the rate limits that are shared with other instances. */
 export interface RegistryParts {
     readonly services: ServiceRegistry;
     readonly limits: UpstreamLimits;
 }
 
-/** Opens it. */
+/** Creates the service registry. */
 export const createServiceRegistry = (options: CreateServiceRegistryOptions): RegistryParts => {
     const {
         parts: { settings, clock, random },
         instance,
-        assignments: duties,
+        assignments,
         telemetry,
         onStateChange,
-        onUrgentNotice: onUrgentWord,
+        onUrgentNotice,
     } = options;
     const limits = new UpstreamLimits({
         clock,
@@ -45,7 +45,7 @@
         clock,
         random,
         limits,
-        shareOf: (upstream, wanted) => duties.limitShareOf(upstream, wanted),
+        shareOf: (upstream, participants) => assignments.limitShareOf(upstream, participants),
     });
     const services = new ServiceRegistry({
         clock,
@@ -53,9 +53,9 @@
         notices: new UpstreamNotices({ clock }),
         limits,
         limitAdmission,
-        coldAdmission: new SharedColdAdmission({ clock, participantsOf: upstream => duties.participantsOf(upstream) }),
+        coldAdmission: new SharedColdAdmission({ clock, participantsOf: upstream => assignments.participantsOf(upstream) }),
         onStateChange,
-        onUrgentNotice: onUrgentWord,
+        onUrgentNotice,
     });
     return { services, limits };
 };
--- a/packages/daemon/src/upstream/http-attempt.ts
+++ b/packages/daemon/src/upstream/http-attempt.ts
@@ -1,5 +1,5 @@
 /**
- * One attempt over `node:http`.
+ * An attempt over `node:http`.
  *
  * @packageDocumentation
  */
@@ -12,27 +12,27 @@
 import type { UpstreamAgent } from "./upstream-agent.js";
 import type { Attempt, ResponseSink, UpstreamRequest, UpstreamTarget } from "./upstream-transport.js";
 
-/** This side gave up on an attempt. */
+/** The attempt was aborted by this instance. */
 export class AttemptCancelledError extends HarrierhitchError {
     readonly code = "attempt-cancelled";
 
-    /** @param end - How the attempt ends. */
+    /** @param end - How the attempt ended. */
     constructor(readonly end: "timed-out" | "cancelled") {
         super(`the attempt was given up: ${end}`);
     }
 }
 
-/** No connection came up in time. */
+/** No connection was established in time. */
 export class ConnectTimeoutError extends HarrierhitchError {
     readonly code = "connect-timeout";
 
-    /** @param timeoutMs - The time that it was given. */
+    /** @param timeoutMs - The connect timeout. */
     constructor(readonly timeoutMs: number) {
         super(`no connection within ${timeoutMs} ms`);
     }
 }
 
-/** The upstream stopped taking new work before anything of the request was written. */
+/** The upstream stopped accepting new requests before any byte of this one was written. */
 export class AttemptWithdrawnError extends HarrierhitchError {
     readonly code = "attempt-withdrawn";
 
@@ -41,15 +41,15 @@
     }
 }
 
-/** Limit on the head of an answer. */
-const maximumAnswerHeadBytes = 32_768;
+/** Maximum size of a response's status line and headers. */
+const maximumResponseHeadBytes = 32_768;
 
 /** An {@link Attempt} over a connection of the upstream's agent. */
 export class HttpAttempt implements Attempt {
     readonly result: Promise<AttemptResult>;
     private readonly request: ClientRequest;
     private settle: (result: AttemptResult) => void = () => undefined;
-    private answer: IncomingMessage | undefined;
+    private response: IncomingMessage | undefined;
     private cancelled: AttemptCancelledError | undefined;
     private connectTimer: NodeJS.Timeout | undefined;
     private sent = false;
@@ -59,7 +59,7 @@
      * @param target - The upstream.
      * @param agent - Its connections.
      * @param outgoing - The request.
-     * @param sink - Takes the answer.
+     * @param sink - Receives the response.
      */
     constructor(
         private readonly target: UpstreamTarget,
@@ -78,10 +78,10 @@
             method: outgoing.method,
             path: outgoing.path,
             headers: outgoing.headers as string[],
-            maxHeaderSize: maximumAnswerHeadBytes,
+            maxHeaderSize: maximumResponseHeadBytes,
             setHost: false,
         });
-        this.listen();
+        this.attachHandlers();
         this.send(outgoing.body);
     }
 
@@ -92,12 +92,12 @@
     }
 
     resume(): void {
-        this.answer?.resume();
+        this.response?.resume();
     }
 
-    private listen(): void {
+    private attachHandlers(): void {
         this.request.on("socket", socket => this.onSocket(socket));
-        this.request.on("response", answer => this.onResponse(answer));
+        this.request.on("response", response => this.onResponse(response));
         this.request.on("error", error => this.onError(error));
         this.request.on("close", () => this.onClose());
     }
@@ -113,8 +113,8 @@
         }
     }
 
-    /** Takes the request back where its upstream may no longer get it; a request may have waited for its connection. */
-    private withdrawIfLate(): boolean {
+    /** Withdraws the request if its upstream may no longer receive it, since it may have waited for a connection. */
+    private withdrawIfDisallowed(): boolean {
         const mayBegin = this.outgoing.mayBegin?.() ?? true;
         if (!mayBegin) {
             this.request.destroy(new AttemptWithdrawnError());
@@ -123,7 +123,7 @@
     }
 
     private onSocket(socket: Socket): void {
-        if (this.withdrawIfLate()) {
+        if (this.withdrawIfDisallowed()) {
             return;
         }
         if (!socket.connecting) {
@@ -135,46 +135,46 @@
         socket.setNoDelay(true);
         socket.once("connect", () => {
             clearTimeout(this.connectTimer);
-            this.sent = !this.finished && !this.withdrawIfLate();
+            this.sent = !this.finished && !this.withdrawIfDisallowed();
         });
     }
 
-    private onResponse(answer: IncomingMessage): void {
+    private onResponse(response: IncomingMessage): void {
         if (this.finished) {
-            answer.resume();
+            response.resume();
             return;
         }
-        this.answer = answer;
-        this.agent.recordIdleTimeout(answer.socket, answer.headers["keep-alive"] as string | undefined);
-        answer.on("error", error => this.onError(error));
-        answer.on("data", (chunk: Buffer) => this.onData(chunk));
-        answer.on("end", () => this.onEnd());
-        if (!this.sink.onHead(answer.statusCode ?? 0, answer.headers)) {
+        this.response = response;
+        this.agent.recordIdleTimeout(response.socket, response.headers["keep-alive"] as string | undefined);
+        response.on("error", error => this.onError(error));
+        response.on("data", (chunk: Buffer) => this.onData(chunk));
+        response.on("end", () => this.onEnd());
+        if (!this.sink.onHead(response.statusCode ?? 0, response.headers)) {
             this.cancel("cancelled");
         }
     }
 
     private onData(chunk: Buffer): void {
         if (!this.finished && !this.sink.onData(chunk)) {
-            this.answer?.pause();
+            this.response?.pause();
         }
     }
 
     private onEnd(): void {
-        if (this.answer?.complete === true) {
+        if (this.response?.complete === true) {
             this.finish("answered", "");
         }
     }
 
     private onError(error: Error): void {
-        // Bytes after a whole answer spoil its connection, not the answer, whose end is still to be read.
-        if (this.answer?.complete !== true || this.cancelled !== undefined) {
+        // Bytes after a complete response invalidate the connection but not the response, whose end is still to be read.
+        if (this.response?.complete !== true || this.cancelled !== undefined) {
             this.fail(error);
         }
     }
 
     private onClose(): void {
-        const isOpen = this.answer?.complete !== true || this.answer.destroyed;
+        const isOpen = this.response?.complete !== true || this.response.destroyed;
         if (isOpen && !this.finished) {
             this.fail(new TypeError("the connection closed before the answer was whole"));
         }
@@ -197,7 +197,7 @@
         }
         this.finished = true;
         clearTimeout(this.connectTimer);
-        this.settle({ end, status: this.answer?.statusCode, detail, sent: this.sent, refused });
+        this.settle({ end, status: this.response?.statusCode, detail, sent: this.sent, refused });
     }
 }
 
--- a/packages/daemon/src/upstream/http-transport.ts
+++ b/packages/daemon/src/upstream/http-transport.ts
@@ -1,5 +1,5 @@
 /**
- * The transport to upstreams over `node:http`.
+ * Transport to upstreams over `node:http`.
  *
  * @packageDocumentation
  */
@@ -17,21 +17,21 @@
     readonly target: UpstreamTarget;
 }
 
-/** Idle time after which a connection is closed unless the upstream names a shorter one. */
+/** Idle timeout of connections, in milliseconds; an upstream may announce a shorter one. */
 const keepAliveMs = 10_000;
 
-/** An {@link UpstreamTransport} with an agent for each upstream. */
+/** An {@link UpstreamTransport} with one agent per upstream. */
 export class HttpTransport implements UpstreamTransport {
     private agents = new Map<UpstreamId, AgentEntry>();
 
     configure(targets: readonly UpstreamTarget[]): void {
-        const old = this.agents;
+        const previous = this.agents;
         this.agents = new Map(targets.map(target => {
-            const entry = old.get(target.upstream.id);
-            const kept = entry !== undefined && sameTarget(entry.target, target);
-            return [target.upstream.id, kept ? entry : openAgent(target)];
+            const entry = previous.get(target.upstream.id);
+            const isUnchanged = entry !== undefined && isSameTarget(entry.target, target);
+            return [target.upstream.id, isUnchanged ? entry : createAgent(target)];
         }));
-        old.forEach((entry, id) => {
+        previous.forEach((entry, id) => {
             if (this.agents.get(id) !== entry) {
                 entry.agent.retire();
             }
@@ -62,11 +62,11 @@
     }
 }
 
-const openAgent = (target: UpstreamTarget): AgentEntry => {
+const createAgent = (target: UpstreamTarget): AgentEntry => {
     return { target, agent: new UpstreamAgent({ connections: target.connections, keepAliveMs }) };
 };
 
-const sameTarget = (a: UpstreamTarget, b: UpstreamTarget): boolean =>
+const isSameTarget = (a: UpstreamTarget, b: UpstreamTarget): boolean =>
     isSameIncarnation(a.upstream, b.upstream)
     && a.connections === b.connections
     && a.connectTimeoutMs === b.connectTimeoutMs;
--- a/packages/daemon/src/upstream/instance-budgets.ts
+++ b/packages/daemon/src/upstream/instance-budgets.ts
@@ -1,39 +1,38 @@
 /**
- * This instance's shares of the budgets of the whole fleet.
+ * This instance's shares of the fleet's budgets.
  *
  * @packageDocumentation
  */
 
 import type { Configuration, Settings } from "@harrierhitch/configuration";
 
-/** What one instance may spend. */
+/** Budgets of one instance. */
 export interface InstanceBudgets {
-    /** Attempts beyond the first, earned by each request. */
+    /** Retries earned per request. */
     readonly retryShare: number;
-    /** Most of them that are saved up for each service. */
+    /** Maximum number of saved retries per service. */
     readonly retryBurst: number;
-    /** Probes of one upstream, for each second. */
+    /** Probes per second of each upstream. */
     readonly probesPerSecond: number;
 }
 
-/** Share of each budget that is used: requests are counted at other moments by whoever checks it. */
-const usedShare = 0.85;
+/** Fraction of each budget that is spent, as a margin for counting at different times. */
+const spentFraction = 0.85;
 
-/** Attempts that each instance saves up where the settings name no budget. */
-const defaultRetriesSaved = 10;
+/** Maximum number of saved retries if the settings contain no budgets. */
+const defaultRetryBurst = 10;
 
-/** Saved attempts below which no second attempt could ever be made. */
-const minimumRetriesSaved = 1.2;
+/** Minimum capacity for saved retries; below 1, no retry would ever be possible. */
+const minimumRetryBurst = 1.2;
 
 /**
- * Divides the budgets. What requests earn needs no dividing: each instance
- * spends only what its own requests have earned, so the sum holds also after a
- * split. Only the fixed parts are divided by the number of instances.
+ * Divides the fleet's budgets. Retries earned by requests need no division, because each instance spends only what its own
+ * requests earned; fixed parts are divided by the number of instances.
  *
- * @param configuration - The configuration in force.
- * @param budgets - Budgets of the whole fleet by the settings, which go before the configuration's.
- * @param members - Instances that may be running as far as is known; `undefined` for one that works alone. Fewer than
- *   the configured number count as that number, since whoever has just started knows few.
+ * @param configuration - The active configuration.
+ * @param budgets - Budgets of the fleet in the settings; they take precedence over the configuration's.
+ * @param members - Number of instances that may be running; `undefined` if standalone. The configured maximum applies if
+ * it is higher, since a starting instance has not discovered all members.
  */
 export const divideBudgets = (
     configuration: Configuration,
@@ -45,13 +44,13 @@
     if (budgets === undefined) {
         return {
             retryShare: fleet.retryPercent / 100,
-            retryBurst: defaultRetriesSaved,
+            retryBurst: defaultRetryBurst,
             probesPerSecond: fleet.probesPerSecond / instances,
         };
     }
     return {
-        retryShare: budgets.retryShare * usedShare,
-        retryBurst: Math.max(minimumRetriesSaved, budgets.retrySlack * usedShare / instances),
-        probesPerSecond: budgets.probesPerSecond * usedShare / instances,
+        retryShare: budgets.retryShare * spentFraction,
+        retryBurst: Math.max(minimumRetryBurst, budgets.retrySlack * spentFraction / instances),
+        probesPerSecond: budgets.probesPerSecond * spentFraction / instances,
     };
 };
--- a/packages/daemon/src/upstream/probe-budget.ts
+++ b/packages/daemon/src/upstream/probe-budget.ts
@@ -1,15 +1,15 @@
 /**
- * The budget of probes of one instance.
+ * Limits the rate of probes.
  *
  * @packageDocumentation
  */
 
 import type { Clock, UpstreamId } from "@harrierhitch/core";
 
-/** Seconds for which unspent probes are saved up: bursts of some seconds are the usual ones, and the budget counts over a day. */
-const savedSeconds = 6;
+/** Seconds for which unused probes accumulate, to allow short bursts. */
+const burstSeconds = 6;
 
-/** Allows each upstream a number of probes a second; what is not spent is saved for some seconds only. */
+/** Token bucket of probes for each upstream. */
 export class ProbeBudget {
     private readonly buckets = new Map<UpstreamId, { readonly tokens: number; readonly atMs: number; }>();
     private perSecond = 0;
@@ -17,17 +17,17 @@
     /** @param clock - The clock. */
     constructor(private readonly clock: Clock) {}
 
-    /** Sets this instance's share of the probes of one upstream. */
+    /** Sets this instance's rate of probes for each upstream. */
     configure(perSecond: number): void {
         this.perSecond = perSecond;
     }
 
-    /** Whether there is a probe of an upstream to take. */
+    /** Whether an upstream may be probed now. */
     canTake(upstream: UpstreamId): boolean {
         return this.perSecond > 0 && this.tokensOf(upstream) >= 1;
     }
 
-    /** Takes one probe of an upstream out of the budget; tells whether there was one. */
+    /** Takes a token for a probe of an upstream; returns whether one was available. */
     take(upstream: UpstreamId): boolean {
         const tokens = this.tokensOf(upstream);
         const isAllowed = this.canTake(upstream);
@@ -36,15 +36,15 @@
     }
 
     private tokensOf(upstream: UpstreamId): number {
-        const maximum = Math.max(1, this.perSecond * savedSeconds);
+        const maximum = Math.max(1, this.perSecond * burstSeconds);
         const bucket = this.buckets.get(upstream);
         return bucket === undefined
             ? maximum
             : Math.min(maximum, bucket.tokens + (this.clock.nowMs() - bucket.atMs) / 1000 * this.perSecond);
     }
 
-    /** Forgets upstreams that are gone. */
-    retain(known: ReadonlySet<UpstreamId>): void {
-        [...this.buckets.keys()].filter(id => !known.has(id)).forEach(id => this.buckets.delete(id));
+    /** Removes the state of upstreams that are not in `current`. */
+    retain(current: ReadonlySet<UpstreamId>): void {
+        [...this.buckets.keys()].filter(id => !current.has(id)).forEach(id => this.buckets.delete(id));
     }
 }
--- a/packages/daemon/src/upstream/probe-suppression.ts
+++ b/packages/daemon/src/upstream/probe-suppression.ts
@@ -1,31 +1,31 @@
 /**
- * Services whose upstreams answer probes without telling their load.
+ * Suppresses probes of services whose upstreams return no load reports.
  *
  * @packageDocumentation
  */
 
 import type { Clock, ServiceName } from "@harrierhitch/core";
 
-/** Answers in a row that told nothing, after which a service is not asked for a while. */
-const silentInRow = 8;
+/** Consecutive responses without a load report after which a service is not probed for a while. */
+const maximumUnreported = 8;
 
-/** Time for which it is not asked: upstreams that are replaced may tell their load some day. */
-const pauseMs = 10_000;
+/** Duration of a suppression, in milliseconds; replaced upstreams may return load reports later. */
+const suppressionMs = 10_000;
 
-/** Keeps probes from services that tell nothing, where they would only cost time. */
+/** Suppresses probes that would only add latency. */
 export class ProbeSuppression {
     private readonly counts = new Map<ServiceName, number>();
-    private readonly pausedUntilMs = new Map<ServiceName, number>();
+    private readonly suppressedUntilMs = new Map<ServiceName, number>();
 
     /** @param clock - The clock. */
     constructor(private readonly clock: Clock) {}
 
-    /** Whether a service is not worth asking now. */
+    /** Whether probes of a service are currently suppressed. */
     isSuppressed(service: ServiceName): boolean {
-        return this.clock.nowMs() < (this.pausedUntilMs.get(service) ?? 0);
+        return this.clock.nowMs() < (this.suppressedUntilMs.get(service) ?? 0);
     }
 
-    /** Notes how a probe of a service ended; one that failed says nothing of the others. */
+    /** Records the result of a probe; failed probes do not count. */
     recordResult(service: ServiceName, result: "told" | "silent" | "failed"): void {
         if (result === "told") {
             this.counts.delete(service);
@@ -34,9 +34,9 @@
             return;
         }
         const count = (this.counts.get(service) ?? 0) + 1;
-        this.counts.set(service, count % silentInRow);
-        if (count === silentInRow) {
-            this.pausedUntilMs.set(service, this.clock.nowMs() + pauseMs);
+        this.counts.set(service, count % maximumUnreported);
+        if (count === maximumUnreported) {
+            this.suppressedUntilMs.set(service, this.clock.nowMs() + suppressionMs);
         }
     }
 }
--- a/packages/daemon/src/upstream/prober.ts
+++ b/packages/daemon/src/upstream/prober.ts
@@ -1,5 +1,5 @@
 /**
- * Asking upstreams for their load just before a choice.
+ * Requests load reports from upstreams just before a selection.
  *
  * @packageDocumentation
  */
@@ -22,94 +22,91 @@
     readonly transport: UpstreamTransport;
     readonly headerProtocol: HeaderProtocol;
     readonly budget: ProbeBudget;
-    /** Told of each probe that was sent, and of how it ended. */
+    /** Called for each probe with its result. */
     readonly onProbe: (service: Service, result: ProbeResult) => void;
-    /** Told of what an upstream asks of this instance in its answer to a probe. */
+    /** Called for the notice in a probe's response. */
     readonly onNotice: (notice: ReceivedNotice) => void;
 }
 
-/** How a probe ended. */
+/** Result of a probe. */
 export type ProbeResult = ProbeOutcome | "over-budget";
 
-/** How a probe that was sent ended. */
+/** Result of a probe that was sent: with a load report, without one, or failed. */
 export type ProbeOutcome = "told" | "silent" | "failed";
 
-/** One question to several upstreams. */
+/** A request to probe several upstreams. */
 export interface ProbeRequest {
     readonly service: Service;
     readonly runtime: ServiceRuntime;
     readonly upstreams: readonly UpstreamEntry[];
-    /** Longest time for which the answers are waited for. */
+    /** Longest time to wait for responses, in milliseconds. */
     readonly timeoutMs: number;
-    /** Asked after each answer: whether the others need not be waited for. */
+    /** Called after each response: whether waiting for the others is unnecessary. */
     readonly isSufficient: () => boolean;
 }
 
-/** Age below which a report is as good as a new answer. */
-const freshMs = 8;
+/** Age below which a load report is not refreshed, in milliseconds. */
+const recentReportMs = 8;
 
-/** Time after which a probe is given up; its answer then tells nothing any more. */
-const abandonMs = 250;
+/** Time after which a probe is cancelled, in milliseconds. */
+const cancelAfterMs = 250;
 
-/** Probes a few upstreams in parallel; requests that want to know the same share the answer. */
+/** Probes upstreams in parallel; concurrent requests share the probes in flight. */
 export class Prober {
-    private readonly asking = new Map<UpstreamId, Promise<void>>();
-    private readonly silence: ProbeSuppression;
+    private readonly inFlight = new Map<UpstreamId, Promise<void>>();
+    private readonly suppression: ProbeSuppression;
 
-    /** @param options - Transport, budget and dialect. */
+    /** @param options - Transport, budget and header protocol. */
     constructor(private readonly options: ProberOptions) {
-        this.silence = new ProbeSuppression(options.clock);
+        this.suppression = new ProbeSuppression(options.clock);
     }
 
-    /** Whether an upstream may be asked now: the budget allows it, or others are asking it already. */
+    /** Whether an upstream may be probed: the budget allows it, or a probe is already in flight. */
     canProbe(upstream: UpstreamId): boolean {
-        return this.asking.has(upstream) || this.options.budget.canTake(upstream);
+        return this.inFlight.has(upstream) || this.options.budget.canTake(upstream);
     }
 
-    /**
-     * Brings the beliefs about some upstreams up to date, as far as they answer in
-     * time. Answers that come later are still learned from.
-     */
-    async probe(question: ProbeRequest): Promise<void> {
-        if (this.silence.isSuppressed(question.service.name)) {
+    /** Probes upstreams and waits until enough have responded or the timeout passed; later responses are still applied. */
+    async probe(request: ProbeRequest): Promise<void> {
+        if (this.suppression.isSuppressed(request.service.name)) {
             return;
         }
-        const probes = question.upstreams.flatMap(upstream => this.startProbe(question, upstream) ?? []);
+        const probes = request.upstreams.flatMap(upstream => this.startProbe(request, upstream) ?? []);
         if (probes.length === 0) {
             return;
         }
-        let endWait = (): void => undefined;
-        const patience = new Promise<void>(resolve => {
-            endWait = resolve;
+        let stopWaiting = (): void => undefined;
+        const timeout = new Promise<void>(resolve => {
+            stopWaiting = resolve;
         });
-        const timer = this.options.clock.after(question.timeoutMs, endWait);
-        probes.forEach(probe => void probe.then(() => question.isSufficient() ? endWait() : undefined));
-        await Promise.race([Promise.all(probes), patience]);
+        const timer = this.options.clock.after(request.timeoutMs, stopWaiting);
+        probes.forEach(probe => void probe.then(() => request.isSufficient() ? stopWaiting() : undefined));
+        await Promise.race([Promise.all(probes), timeout]);
         timer.cancel();
     }
 
-    private startProbe(question: ProbeRequest, upstream: UpstreamEntry): Promise<void> | undefined {
+    private startProbe(request: ProbeRequest, upstream: UpstreamEntry): Promise<void> | undefined {
         const { clock, budget, onProbe } = this.options;
-        const running = this.asking.get(upstream.id);
+        const running = this.inFlight.get(upstream.id);
         if (running !== undefined) {
             return running;
         }
-        const reportedAtMs = question.runtime.tracker.lastReportAtMs(upstream.id);
-        if (reportedAtMs !== undefined && clock.nowMs() - reportedAtMs < freshMs) {
+        const reportedAtMs = request.runtime.tracker.lastReportAtMs(upstream.id);
+        if (reportedAtMs !== undefined && clock.nowMs() - reportedAtMs < recentReportMs) {
             return undefined;
         }
         if (!budget.take(upstream.id)) {
-            onProbe(question.service, "over-budget");
+            onProbe(request.service, "over-budget");
             return undefined;
         }
-        const probe = this.send(question, upstream).finally(() => this.asking.delete(upstream.id));
-        this.asking.set(upstream.id, probe);
+        const probe = this.send(request, upstream).finally(() => this.inFlight.delete(upstream.id));
+        this.inFlight.set(upstream.id, probe);
         return probe;
     }
 
     private async send({ service, runtime }: ProbeRequest, upstream: UpstreamEntry): Promise<void> {
         const { clock, transport, onProbe } = this.options;
-        const answer: { outcome: ProbeOutcome; } = { outcome: "failed" };
+        const response: { outcome: ProbeOutcome; } = { outcome: "failed" };
         const sentAtMs = clock.nowMs();
         const request = {
             method: "GET",
@@ -120,45 +117,45 @@
         };
         const attempt = transport.send(upstream, request, {
             onHead: (status, headers) => {
-                answer.outcome = this.learn({ service, runtime }, upstream, status, headers, sentAtMs);
+                response.outcome = this.handleResponse({ service, runtime }, upstream, status, headers, sentAtMs);
                 return true;
             },
             onData: () => true,
         });
-        const timer = clock.after(abandonMs, () => attempt.cancel("timed-out"));
+        const timer = clock.after(cancelAfterMs, () => attempt.cancel("timed-out"));
         const { end } = await attempt.result;
         timer.cancel();
-        // A load that was told holds whatever becomes of the rest of the answer.
-        const result = end === "answered" || answer.outcome === "told" ? answer.outcome : "failed";
-        this.silence.recordResult(service.name, result);
+        // A load report is valid even if the rest of the response fails.
+        const result = end === "answered" || response.outcome === "told" ? response.outcome : "failed";
+        this.suppression.recordResult(service.name, result);
         onProbe(service, result);
     }
 
-    private learn(
-        { service, runtime: { tracker: beliefs } }: Pick<ProbeRequest, "service" | "runtime">,
+    private handleResponse(
+        { service, runtime: { tracker } }: Pick<ProbeRequest, "service" | "runtime">,
         upstream: UpstreamEntry,
         status: number,
         headers: IncomingHttpHeaders,
         sentAtMs: number,
     ): ProbeOutcome {
-        const { clock, headerProtocol: dialect, onNotice } = this.options;
-        const reading = dialect.readResponseHead({
+        const { clock, headerProtocol, onNotice } = this.options;
+        const parsed = headerProtocol.readResponseHead({
             status,
             headers,
             service,
             upstream: upstream.id,
             requestHeaders: undefined,
         });
-        const { load, misdirected, notice } = reading;
+        const { load, misdirected, notice } = parsed;
         onNotice({ service: service.name, upstream, notice, request: undefined });
-        applyResponse({ clock, tracker: beliefs, upstream, response: reading, sentAtMs, isProbe: true });
+        applyResponse({ clock, tracker, upstream, response: parsed, sentAtMs, isProbe: true });
         if (misdirected) {
             return "failed";
         }
         if (load !== undefined) {
             return "told";
         }
-        // One that asks to be left alone says nothing of whether its service tells its load.
+        // A response that requests a backoff need not contain a load report.
         return notice.backoffMs === undefined ? "silent" : "failed";
     }
 }
--- a/packages/daemon/src/upstream/retry-after-schedule.ts
+++ b/packages/daemon/src/upstream/retry-after-schedule.ts
@@ -1,46 +1,46 @@
 /**
- * When callers come back that are turned away because upstreams name how much they take.
+ * Staggers the Retry-After of callers rejected because of upstreams' rate limits.
  *
  * @packageDocumentation
  */
 
 import type { Clock } from "@harrierhitch/core";
 
-/** Longest time after which a caller is told to come back, in milliseconds: by then upstreams may take more again. */
-const longestMs = 30_000;
+/** Longest Retry-After, in milliseconds; the limits may have risen by then. */
+const maximumRetryAfterMs = 30_000;
 
 const secondMs = 1000;
 
-/** Gives each caller that is turned away a turn of its own, at the rate at which upstreams take requests. */
+/** Schedules the retries of rejected callers at the rate that upstreams accept. */
 export class RetryAfterSchedule {
-    private lastAtMs = -Infinity;
-    private turnedAwayAtMs: number | undefined;
+    private lastSlotAtMs = -Infinity;
+    private rejectedAtMs: number | undefined;
 
     /** @param clock - The clock. */
     constructor(private readonly clock: Clock) {}
 
     /**
-     * Milliseconds until the next turn.
+     * Returns the milliseconds until the next free retry slot.
      *
-     * @param perSecond - This instance's even part of what upstreams take.
+     * @param perSecond - This instance's share of the upstreams' rate limits.
      */
     nextInMs(perSecond: number): number {
-        const lastInMs = Math.max(0, this.lastAtMs - this.clock.nowMs());
-        return perSecond <= 0 ? longestMs : Math.min(longestMs, lastInMs + secondMs / perSecond);
+        const lastSlotInMs = Math.max(0, this.lastSlotAtMs - this.clock.nowMs());
+        return perSecond <= 0 ? maximumRetryAfterMs : Math.min(maximumRetryAfterMs, lastSlotInMs + secondMs / perSecond);
     }
 
-    /** Milliseconds since a caller who could still be in time was turned away; -1 if none was. */
+    /** Milliseconds since a caller was rejected whose deadline had not passed; -1 if there was none. */
     get lastRejectionAgeMs(): number {
-        return this.turnedAwayAtMs === undefined ? -1 : this.clock.nowMs() - this.turnedAwayAtMs;
+        return this.rejectedAtMs === undefined ? -1 : this.clock.nowMs() - this.rejectedAtMs;
     }
 
-    /** Notes that a caller was turned away who could still have been in time. */
+    /** Records that a caller was rejected whose deadline had not passed. */
     recordRejection(): void {
-        this.turnedAwayAtMs = this.clock.nowMs();
+        this.rejectedAtMs = this.clock.nowMs();
     }
 
-    /** Notes that a caller was told to come back after some time, and will in its time. */
+    /** Records the Retry-After sent to a caller that will still meet its deadline. */
     recordRetryAfter(afterMs: number): void {
-        this.lastAtMs = Math.max(this.lastAtMs, this.clock.nowMs() + afterMs);
+        this.lastSlotAtMs = Math.max(this.lastSlotAtMs, this.clock.nowMs() + afterMs);
     }
 }
--- a/packages/daemon/src/upstream/service-registry.ts
+++ b/packages/daemon/src/upstream/service-registry.ts
@@ -21,18 +21,18 @@
 import { ServiceRuntime } from "./service-runtime.js";
 import type { UpstreamTarget } from "./upstream-transport.js";
 
-/** A change of an upstream's believed state. */
+/** A change of an upstream's estimated state. */
 export interface StateChange {
     readonly service: ServiceName;
     readonly upstream: UpstreamId;
-    /** The start of it that is meant, in milliseconds since the Unix epoch; 0 when it is not known. */
+    /** Start time of the incarnation, in milliseconds since the Unix epoch; 0 if unknown. */
     readonly startedAtMs: number;
     readonly before: UpstreamEstimate;
     readonly after: UpstreamEstimate;
 }
 
-/** Attempts beyond the first that a start grants: few, because each of many instances that are restarted together gets them. */
-const retriesSavedAtStart = 2;
+/** Retries available to a new service; few, because every instance of a restarted fleet gets them. */
+const initialRetryBurst = 2;
 
 /** Options of {@link ServiceRegistry}. */
 export interface ServiceRegistryOptions {
@@ -41,66 +41,66 @@
     readonly onStateChange: (change: StateChange) => void;
     /** Admits requests to cold upstreams. */
     readonly coldAdmission: ColdAdmission;
-    /** What upstreams told of themselves; it outlives services. */
+    /** Notices received from upstreams; they outlive configurations. */
     readonly notices: UpstreamNotices;
-    /** How much they say that they take; it outlives services, too. */
+    /** Rate limits announced by upstreams; they outlive configurations. */
     readonly limits: UpstreamLimits;
-    /** Admits requests to those that do. */
+    /** Admits requests to rate-limited upstreams. */
     readonly limitAdmission: LimitAdmission;
-    /** Told that an upstream said something that other instances should hear at once. */
+    /** Called when an upstream sent a notice that must be gossiped at once. */
     readonly onUrgentNotice: () => void;
 }
 
-/** What a registry is brought up to date by. */
+/** Input for an update of the registry. */
 export interface RegistryUpdate {
     readonly configuration: Configuration;
-    /** Upstreams that are listed apart from the configuration. */
+    /** Discovered upstreams; those in the configuration are not included. */
     readonly discovered: readonly DiscoveredUpstream[];
 }
 
-/** Keeps a {@link ServiceRuntime} for each configured service. */
+/** Maintains a {@link ServiceRuntime} for each configured service. */
 export class ServiceRegistry {
     private runtimes = new Map<ServiceName, ServiceRuntime>();
 
-    /** @param options - Clock, place and what to do on changes. */
+    /** @param options - Clock, admission control and callbacks. */
     constructor(private readonly options: ServiceRegistryOptions) {}
 
-    /** Takes over an accepted configuration or a changed listing; states of what stays are kept. */
-    configure({ configuration, discovered: listed }: RegistryUpdate): void {
+    /** Applies a configuration and discovered upstreams; services and upstreams that remain keep their state. */
+    configure({ configuration, discovered }: RegistryUpdate): void {
         const { maximumInstances } = configuration.fleet;
         this.runtimes = new Map([...configuration.services.values()].map(service => {
             const runtime = this.runtimes.get(service.name) ?? this.create(service.name);
-            const own = listed.filter(upstream => upstream.service === service.name);
-            runtime.tracker.configure(service, maximumInstances, knownUpstreams(service, own));
+            const ofService = discovered.filter(upstream => upstream.service === service.name);
+            runtime.tracker.configure(service, maximumInstances, upstreamsOf(service, ofService));
             const atMs = this.options.clock.nowMs();
-            own.filter(upstream => upstream.draining).forEach(({ id }) =>
+            ofService.filter(upstream => upstream.draining).forEach(({ id }) =>
                 runtime.tracker.observe(id, { type: "draining", atMs })
             );
             return [service.name, runtime];
         }));
     }
 
-    /** Sets this instance's shares of the fleet's budgets. */
-    applyBudgets({ retryShare, retryBurst: retriesSaved }: InstanceBudgets): void {
-        this.runtimes.forEach(({ retryBudget }) => retryBudget.configure(retryShare, retriesSaved));
+    /** Applies this instance's shares of the fleet's budgets. */
+    applyBudgets({ retryShare, retryBurst }: InstanceBudgets): void {
+        this.runtimes.forEach(({ retryBudget }) => retryBudget.configure(retryShare, retryBurst));
     }
 
     /**
-     * Takes in that an upstream leaves, whichever service it belongs to, and also while its entry has lapsed.
+     * Records that an upstream is draining, also if it is currently not in the directory.
      *
      * @param upstream - The upstream.
-     * @param startedAtMs - The start that leaves, in milliseconds since the Unix epoch; 0 when it is not known.
-     * @param atMs - When that was learned, on this instance's clock.
+     * @param startedAtMs - Start time of the draining incarnation, in milliseconds since the Unix epoch; 0 if unknown.
+     * @param atMs - Time of the observation on this instance's clock.
      */
     recordDraining(upstream: UpstreamId, startedAtMs: number, atMs: number): void {
-        const owner = this.all().find(({ tracker: beliefs }) => beliefs.find(upstream) !== undefined);
-        if (owner === undefined) {
+        const runtime = this.all().find(({ tracker }) => tracker.find(upstream) !== undefined);
+        if (runtime === undefined) {
             this.options.notices.recordDraining({ id: upstream, startedAtMs }, 0);
         }
-        owner?.tracker.observe(upstream, { type: "draining", atMs }, startedAtMs);
+        runtime?.tracker.observe(upstream, { type: "draining", atMs }, startedAtMs);
     }
 
-    /** The runtime of a service. */
+    /** Returns the runtime of a service. */
     get(name: ServiceName): ServiceRuntime | undefined {
         return this.runtimes.get(name);
     }
@@ -112,26 +112,26 @@
 
     private create(name: ServiceName): ServiceRuntime {
         const { clock, onStateChange } = this.options;
-        const beliefs = new UpstreamTracker({
+        const tracker = new UpstreamTracker({
             ...this.options,
             onStateChange: ({ id, startedAtMs = 0 }, before, after) =>
                 onStateChange({ service: name, upstream: id, startedAtMs, before, after }),
         });
-        const retryBudget = new RetryBudget({ ratio: 0, maximumBalance: retriesSavedAtStart });
-        return new ServiceRuntime(name, beliefs, new HoldQueue(clock), retryBudget, clock);
+        const retryBudget = new RetryBudget({ ratio: 0, maximumBalance: initialRetryBurst });
+        return new ServiceRuntime(name, tracker, new HoldQueue(clock), retryBudget, clock);
     }
 }
 
-/** The upstreams of a service: those of the configuration, and those that are listed. */
-const knownUpstreams = (service: Service, listed: readonly DiscoveredUpstream[]): readonly UpstreamEntry[] => [
+/** Upstreams of a service: configured and discovered. */
+const upstreamsOf = (service: Service, discovered: readonly DiscoveredUpstream[]): readonly UpstreamEntry[] => [
     ...service.upstreams,
-    ...listed,
+    ...discovered,
 ];
 
-/** The upstreams of all services with the limits of their connections. */
-export const toTargets = ({ configuration, discovered: listed }: RegistryUpdate): readonly UpstreamTarget[] =>
+/** Returns the upstreams of all services with their connection limits. */
+export const toTargets = ({ configuration, discovered }: RegistryUpdate): readonly UpstreamTarget[] =>
     [...configuration.services.values()].flatMap(service =>
-        knownUpstreams(service, listed.filter(upstream => upstream.service === service.name)).map(upstream => ({
+        upstreamsOf(service, discovered.filter(upstream => upstream.service === service.name)).map(upstream => ({
             upstream,
             connections: Math.max(1, Math.floor(service.maximumConnections / configuration.fleet.maximumInstances)),
             connectTimeoutMs: service.connectTimeoutMs,
--- a/packages/daemon/src/upstream/service-runtime.ts
+++ b/packages/daemon/src/upstream/service-runtime.ts
@@ -19,21 +19,21 @@
 import type { HoldQueue } from "../request/hold-queue.js";
 import { RetryAfterSchedule } from "./retry-after-schedule.js";
 
-/** Beliefs, queue and turn of one service; it outlives configurations. */
+/** Upstream estimates, queue and statistics of a service; they outlive configurations. */
 export class ServiceRuntime {
-    /** How long work usually takes, by kind. */
+    /** Typical service times, by kind. */
     readonly latencyBaselines: LatencyBaselines;
-    /** How long callers usually wait, by kind. */
+    /** Typical timeouts of callers, by kind. */
     readonly callerTimeouts = new CallerTimeoutEstimator();
-    /** When callers come back that are turned away because upstreams name limits. */
+    /** Retry-After schedule for callers rejected because of upstreams' rate limits. */
     readonly retryAfterSchedule: RetryAfterSchedule;
-    private turns = 0;
+    private decisions = 0;
 
     /**
      * @param name - The service.
-     * @param tracker - What is believed of its upstreams.
-     * @param queue - Its requests that are held back.
-     * @param retryBudget - Its attempts beyond the first of each request.
+     * @param tracker - Estimates of its upstreams.
+     * @param queue - Its queued requests.
+     * @param retryBudget - Its budget for retries.
      * @param clock - The clock.
      */
     constructor(
@@ -47,27 +47,27 @@
         this.retryAfterSchedule = new RetryAfterSchedule(clock);
     }
 
-    /** Time until an upstream is expected to have room, if nobody else sends anything, in milliseconds. */
+    /** Time until an upstream is expected to have headroom if no further requests arrive, in milliseconds. */
     headroomInMs(upstreams: readonly UpstreamFacts[], tried: readonly string[]): number {
         return headroomInMs(upstreams, tried, this.tracker.residenceMs);
     }
 
-    /** Running number of the next decision. */
+    /** Sequence number of the next decision. */
     get sequence(): number {
-        return this.turns + 1;
+        return this.decisions + 1;
     }
 
-    /** Notes that a decision was taken. */
+    /** Records that a decision was made. */
     advanceSequence(): void {
-        this.turns += 1;
+        this.decisions += 1;
     }
 
     /**
-     * The service as policies see it.
+     * Returns the service's facts for policies.
      *
-     * @param upstreams - What is believed of the upstreams that a decision looks at.
-     * @param tried - Those that the request has tried.
-     * @param askable - How many may be asked for their load now.
+     * @param upstreams - Facts of the upstreams that the decision considers.
+     * @param tried - Upstreams that the request has tried.
+     * @param askable - Number of upstreams that may be probed now.
      */
     facts(upstreams: readonly UpstreamFacts[], tried: readonly string[], askable: number): ServiceFacts {
         return {
@@ -84,9 +84,9 @@
         };
     }
 
-    /** Milliseconds until there is room for one more caller that is turned away; 0 where no upstream names a limit. */
+    /** Milliseconds until the next retry slot for a rejected caller; 0 if no upstream has a rate limit. */
     private get returnInMs(): number {
-        const { permittedPerSecond: limitedPerSecond } = this.tracker;
-        return limitedPerSecond === undefined ? 0 : this.retryAfterSchedule.nextInMs(limitedPerSecond);
+        const { permittedPerSecond } = this.tracker;
+        return permittedPerSecond === undefined ? 0 : this.retryAfterSchedule.nextInMs(permittedPerSecond);
     }
 }
--- a/packages/daemon/src/upstream/upstream-agent.ts
+++ b/packages/daemon/src/upstream/upstream-agent.ts
@@ -1,5 +1,5 @@
 /**
- * The connections to one upstream.
+ * Connections to one upstream.
  *
  * @packageDocumentation
  */
@@ -9,65 +9,65 @@
 
 /** Options of {@link UpstreamAgent}. */
 export interface UpstreamAgentOptions {
-    /** Most connections. */
+    /** Maximum number of connections. */
     readonly connections: number;
-    /** Idle time after which a connection is closed, unless the upstream names a shorter one. */
+    /** Idle timeout of connections, in milliseconds; the upstream may announce a shorter one. */
     readonly keepAliveMs: number;
 }
 
-/** Share of the idle time named by the upstream after which a connection is no longer used, against crossing its close. */
-const keepAliveShare = 0.7;
+/** Fraction of the announced idle timeout after which a connection is closed, so that no request races with its close. */
+const idleTimeoutFraction = 0.7;
 
-const endIdle = function(this: Socket): void {
+const destroySocket = function(this: Socket): void {
     this.destroy();
 };
 
-/** A `node:http` agent that closes an idle connection as soon as it is in doubt. */
+/** A `node:http` agent that closes idle connections before the upstream does. */
 export class UpstreamAgent extends Agent {
     private retired = false;
-    /** Idle times that the upstream named, by connection. */
-    private readonly namedMs = new WeakMap<Socket, number>();
+    /** Idle timeouts announced by the upstream, by connection. */
+    private readonly announcedTimeoutMs = new WeakMap<Socket, number>();
 
-    /** @param settings - Limits. */
-    constructor(private readonly settings: UpstreamAgentOptions) {
-        super({ keepAlive: true, maxSockets: settings.connections, scheduling: "lifo", timeout: settings.keepAliveMs });
+    /** @param options - Limits. */
+    constructor(private readonly options: UpstreamAgentOptions) {
+        super({ keepAlive: true, maxSockets: options.connections, scheduling: "lifo", timeout: options.keepAliveMs });
     }
 
-    /** Notes the idle time that an answer names in its header `Keep-Alive`. */
+    /** Records the idle timeout announced in a response's `Keep-Alive` header. */
     recordIdleTimeout(socket: Socket, header: string | undefined): void {
         const seconds = /timeout=(\d+)/.exec(header ?? "")?.[1];
         if (seconds !== undefined) {
-            this.namedMs.set(socket, Number(seconds) * 1000 * keepAliveShare);
+            this.announcedTimeoutMs.set(socket, Number(seconds) * 1000 * idleTimeoutFraction);
         }
     }
 
-    /** Keeps no connection any longer; requests in flight go on. */
+    /** Stops reusing connections; requests in flight complete. */
     retire(): void {
         this.retired = true;
         this.closeIdle();
     }
 
-    /** Closes connections that no request uses. */
+    /** Closes idle connections. */
     closeIdle(): void {
         Object.values(this.freeSockets).flat().forEach(socket => socket?.destroy());
     }
 
-    /** Called by `node:http` when an answer has ended: tells whether the connection is kept. */
+    /** Called by `node:http` after a response; returns whether to keep the connection. */
     override keepSocketAlive(socket: Socket): boolean {
         if (this.retired || socket.destroyed) {
             return false;
         }
         socket.setKeepAlive(true);
         socket.unref();
-        socket.setTimeout(Math.max(1, Math.min(this.settings.keepAliveMs, this.namedMs.get(socket) ?? Infinity)));
-        // Bytes that arrive now belong to no request.
-        socket.once("data", endIdle);
+        socket.setTimeout(Math.max(1, Math.min(this.options.keepAliveMs, this.announcedTimeoutMs.get(socket) ?? Infinity)));
+        // Data on an idle connection belongs to no request.
+        socket.once("data", destroySocket);
         return true;
     }
 
-    /** Called by `node:http` before a kept connection is used again. */
+    /** Called by `node:http` before an idle connection is reused. */
     override reuseSocket(socket: Socket, request: ClientRequest): void {
-        socket.off("data", endIdle);
+        socket.off("data", destroySocket);
         socket.setTimeout(0);
         super.reuseSocket(socket, request);
     }
--- a/packages/daemon/src/upstream/upstream-transport.ts
+++ b/packages/daemon/src/upstream/upstream-transport.ts
@@ -1,5 +1,5 @@
 /**
- * The transport to upstreams, behind an interface.
+ * Interface of the transport to upstreams.
  *
  * @packageDocumentation
  */
@@ -10,41 +10,41 @@
 import type { Readable } from "node:stream";
 import type { PortState } from "./check-port.js";
 
-/** The request as it is sent to an upstream. */
+/** A request to an upstream. */
 export interface UpstreamRequest {
     readonly method: string;
-    /** Path with the query. */
+    /** Path including the query. */
     readonly path: string;
-    /** Names and values in turn. */
+    /** Alternating names and values. */
     readonly headers: readonly string[];
     readonly body: Buffer | Readable | undefined;
-    /** Asked when a connection is there, just before anything is written: whether the upstream may still get the request. */
+    /** Called when a connection is available, just before writing; returns whether the upstream may still receive the request. */
     readonly mayBegin?: () => boolean;
 }
 
-/** Takes the answer of one attempt as it arrives. */
+/** Receives the response of an attempt. */
 export interface ResponseSink {
     /**
-     * Takes the head of the answer.
+     * Receives the status and headers.
      *
-     * @returns Whether the rest is wanted; otherwise the attempt is cut off.
+     * @returns Whether to continue; otherwise the attempt is cancelled.
      */
     onHead(status: number, headers: IncomingHttpHeaders): boolean;
     /**
-     * Takes a part of the body.
+     * Receives a chunk of the body.
      *
-     * @returns Whether more can be taken at once; otherwise the transport waits for {@link Attempt.resume}.
+     * @returns Whether to continue at once; otherwise the transport pauses until {@link Attempt.resume}.
      */
     onData(chunk: Buffer): boolean;
 }
 
-/** One attempt in progress. */
+/** An attempt in progress. */
 export interface Attempt {
-    /** Fulfilled, never rejected, when the whole answer was delivered or the attempt failed. */
+    /** Fulfilled when the complete response was received or the attempt failed; never rejected. */
     readonly result: Promise<AttemptResult>;
-    /** Gives up; the connection is closed and never used again. */
+    /** Aborts the attempt and closes its connection. */
     cancel(end: "timed-out" | "cancelled"): void;
-    /** Goes on after {@link ResponseSink.onData} asked to wait. */
+    /** Resumes after {@link ResponseSink.onData} paused the response. */
     resume(): void;
 }
 
@@ -52,17 +52,17 @@
 export interface UpstreamTransport {
     /** Starts an attempt. */
     send(upstream: Upstream, request: UpstreamRequest, sink: ResponseSink): Attempt;
-    /** Looks whether anyone listens at an upstream's address; never rejects. */
+    /** Checks whether a process listens at an upstream's address; never rejects. */
     checkPort(upstream: Upstream): Promise<PortState>;
-    /** Opens and closes pools so that just these upstreams have one. */
+    /** Opens and closes connection pools so that exactly these upstreams have one. */
     configure(upstreams: readonly UpstreamTarget[]): void;
-    /** Closes connections that no request uses: after a sleep their upstreams may have closed them, unnoticed here. */
+    /** Closes idle connections; after a stall, upstreams may have closed them unnoticed. */
     closeIdle(): void;
-    /** Closes all connections once they are idle. */
+    /** Closes all connections. */
     close(): Promise<void>;
 }
 
-/** An upstream with the limits of its connections. */
+/** An upstream with its connection limits. */
 export interface UpstreamTarget {
     readonly upstream: UpstreamEntry;
     readonly connections: number;
--- a/packages/daemon/src/version.ts
+++ b/packages/daemon/src/version.ts
@@ -1,8 +1,8 @@
 /**
- * The version of the daemon.
+ * Version of the daemon.
  *
  * @packageDocumentation
  */
 
-/** Version of this package; a test compares it with the manifest. */
+/** Version of this package, equal to the one in package.json. */
 export const version = "0.1.0";
