--- a/packages/configuration/src/configuration.ts
+++ b/packages/configuration/src/configuration.ts
@@ -88,10 +88,7 @@
     return { value: undefined, findings: [{ file, section: "", key: "", line: undefined, message }] };
 };
 
-/**
- * Returns a function that computes the SHA-256 hash of a document in hexadecimal on its first call. The delay keeps the
- * loading of Node's cryptography out of the start.
- */
+/** Returns a function that computes the SHA-256 hash of a document in hexadecimal on its first call, to keep the start fast. */
 export const lazyDocumentHash = (text: string): () => string => {
     let hash: string | undefined;
     return () => {
@@ -155,7 +152,7 @@
 const routeIdentity = ({ method, host, path }: ConfigurationValues["route"][string]): string =>
     `${method} ${host} ${path.replace(/:[^/]+/g, ":")}`;
 
-/** Returns a function that gives, for the name of an entry, the name of an earlier entry with the same identity, if any. */
+/** Returns a function that maps the name of an entry to the name of the first entry with the same identity, if any. */
 const findDuplicates = <Value>(
     entries: readonly (readonly [string, Value])[],
     identity: (value: Value) => string,
--- a/packages/configuration/test/documents.test.ts
+++ b/packages/configuration/test/documents.test.ts
@@ -154,7 +154,7 @@
     },
 ];
 
-describe("the finding has its location for", () => {
+describe("a finding with its location is reported for", () => {
     invalidEdits.forEach(({ name, document, from, to, finding }) => {
         test(name, () => {
             const text = document === "configuration" ? configuration : settings;
--- a/packages/policy/src/policy-source.ts
+++ b/packages/policy/src/policy-source.ts
@@ -8,7 +8,6 @@
 
 /** The clauses of a policy with their line numbers. */
 export interface PolicySource {
-    /** Name of the policy. */
     readonly name: string;
     /** CEL expressions of the clauses; absent clauses have a default result. */
     readonly clauses: Readonly<Partial<Record<ClauseName, string>>>;
--- a/packages/policy/src/policy.ts
+++ b/packages/policy/src/policy.ts
@@ -30,7 +30,6 @@
 /** A checked policy, ready to be evaluated. */
 export class Policy {
     private constructor(
-        /** The source of the policy. */
         readonly source: PolicySource,
         private readonly programs: Readonly<Partial<Record<ClauseName, ParseResult>>>,
     ) {}
--- a/packages/policy/src/service-facts.ts
+++ b/packages/policy/src/service-facts.ts
@@ -6,7 +6,6 @@
 
 /** Fields of the policy variable `service`; they describe the service as seen by this instance. */
 export interface ServiceFacts {
-    /** Name of the service. */
     readonly name: string;
     /** Requests in flight from this instance to all upstreams of the service. */
     readonly inFlight: number;
--- a/packages/policy/src/upstream-facts.ts
+++ b/packages/policy/src/upstream-facts.ts
@@ -18,7 +18,6 @@
 /** Fields of the policy variable `upstream`. */
 export interface UpstreamFacts {
     readonly id: string;
-    /** Availability zone of the upstream. */
     readonly availabilityZone: string;
     /** Whether the upstream is in the availability zone of this instance. */
     readonly sameZone: boolean;
