--- a/packages/policy/src/request-facts.ts
+++ b/packages/policy/src/request-facts.ts
@@ -49,6 +49,6 @@
      * until an upstream has headroom if no other instance sends requests.
      */
     readonly waitMs: number;
-    /** Baseline service time of the request kind in milliseconds, measured from responses; 0 before there are enough of them. */
+    /** Baseline service time of the request kind in milliseconds, estimated from responses; 0 before there are enough of them. */
     readonly usualMs: number;
 }
