--- a/packages/decision/src/index.ts
+++ b/packages/decision/src/index.ts
@@ -47,7 +47,7 @@
 export { initialLoadModel, type ResponseSample } from "./service-load-model.js";
 export { type InFlightRequest, isSameIncarnation, type UpstreamEntry } from "./tracked-upstream.js";
 export { earliestAvailableMs, jitteredRetryAfterMs, type UpstreamWait } from "./upstream-backoff.js";
-export { defaultEstimateOptions, type EstimateOptions, type UpstreamEstimate } from "./upstream-estimate.js";
+export { estimateDefaults, type EstimateOptions, type UpstreamEstimate } from "./upstream-estimate.js";
 export {
     type LimitChange,
     type LimitNotice,
--- a/packages/decision/src/upstream-estimate.ts
+++ b/packages/decision/src/upstream-estimate.ts
@@ -28,7 +28,7 @@
 }
 
 /** Options that suit upstreams with a few slots. */
-export const defaultEstimateOptions: EstimateOptions = {
+export const estimateDefaults: EstimateOptions = {
     latencyAlpha: 0.2,
     failureAlpha: 0.1,
     ejectAfterFailures: 3,
--- a/packages/decision/src/upstream-tracker.ts
+++ b/packages/decision/src/upstream-tracker.ts
@@ -20,22 +20,10 @@
     updateFromResponse,
 } from "./service-load-model.js";
 import { trackUpstream } from "./track-upstream.js";
-import {
-    type InFlightRequest,
-    lastReportOf,
-    mayEject,
-    toFacts,
-    type TrackedUpstream,
-    type UpstreamEntry,
-} from "./tracked-upstream.js";
+import { lastReportOf, mayEject, toFacts } from "./tracked-upstream.js";
+import type { InFlightRequest, TrackedUpstream, UpstreamEntry } from "./tracked-upstream.js";
 import type { UpstreamWait } from "./upstream-backoff.js";
-import {
-    applyObservation,
-    atTime,
-    defaultEstimateOptions,
-    type EstimateOptions,
-    type UpstreamEstimate,
-} from "./upstream-estimate.js";
+import { applyObservation, atTime, estimateDefaults, type EstimateOptions, type UpstreamEstimate } from "./upstream-estimate.js";
 import { type UpstreamTrackerOptions, withDefaults } from "./upstream-tracker-options.js";
 
 /** Tracks the estimates of a service's upstreams and the requests in flight to them. */
@@ -51,7 +39,7 @@
     /** @param options - Clock, location and limits. */
     constructor(options: UpstreamTrackerOptions) {
         this.options = withDefaults(options);
-        this.estimateOptions = { ...defaultEstimateOptions, ...options.estimate };
+        this.estimateOptions = { ...estimateDefaults, ...options.estimate };
         this.admission = new Admission(this.options);
     }
 
@@ -73,9 +61,7 @@
         const isFirst = this.tracked.size === 0;
         const nowMs = this.options.clock.nowMs();
         const options = { estimate: this.estimateOptions, nowMs, isFirst, notices: this.options.notices };
-        this.tracked = new Map(
-            upstreams.map(upstream => [upstream.id, trackUpstream(upstream, this.tracked.get(upstream.id), options)]),
-        );
+        this.tracked = new Map(upstreams.map(entry => [entry.id, trackUpstream(entry, this.tracked.get(entry.id), options)]));
     }
 
     /** Records that a request is sent to an upstream. */
