--- a/packages/fleet/test/crash-spread.test.ts
+++ b/packages/fleet/test/crash-spread.test.ts
@@ -1,6 +1,6 @@
 /**
- * A request ends upstreams at one instance, and comes again at another: what one learned has to be known to all within
- * the three seconds after which none may send it, also to those that were cut off or have just started.
+ * Guards against a request that crashes upstreams being sent by instances that did not see the crashes: all instances
+ * must quarantine it within three seconds, including restarted ones and, after a partition, the partitioned ones.
  */
 
 import { type RequestKey, requestKey } from "@harrierhitch/core";
@@ -9,11 +9,11 @@
 import { describe, test } from "node:test";
 import { FakeFleet, type FakeNode } from "./fake-fleet.js";
 
-const bad = requestKey("00000000000000bd".padEnd(40, "0"));
+const crashingKey = requestKey("00000000000000bd".padEnd(40, "0"));
 const names = (count: number): readonly string[] => Array.from({ length: count }, (_, index) => `n${index + 1}`);
 
-/** Time within which everyone knows. */
-const knownMs = 3000;
+/** Time within which all instances must quarantine the request, in milliseconds. */
+const propagationMs = 3000;
 
 const started = async (count: number, seed: number, faults?: ConstructorParameters<typeof FakeFleet>[1]): Promise<FakeFleet> => {
     const fleet = new FakeFleet(seed, faults);
@@ -22,9 +22,9 @@
     return fleet;
 };
 
-/** An upstream ends under the request at one instance. */
-const end = (fleet: FakeFleet, node: FakeNode, number: number, key: RequestKey = bad): void => {
-    const run: CrashRecord = {
+/** Records a crash of an upstream while it processes the request of one instance. */
+const recordCrash = (fleet: FakeFleet, node: FakeNode, number: number, key: RequestKey = crashingKey): void => {
+    const record: CrashRecord = {
         id: `${node.id}.${number}.1`,
         key,
         upstream: `u${number}`,
@@ -34,70 +34,76 @@
         hasSucceeded: false,
         succeededMasks: 0,
     };
-    node.crashes.merge([run]);
+    node.crashes.merge([record]);
     node.fleet.gossipNow();
 };
 
-/** Three upstreams end under it, at three instances. */
-const endThree = async (fleet: FakeFleet): Promise<void> => {
+/** Records crashes of three upstreams at three instances. */
+const recordThreeCrashes = async (fleet: FakeFleet): Promise<void> => {
     for (const [index, name] of ["n5", "n9", "n13"].entries()) {
-        end(fleet, fleet.node(name), index + 1);
+        recordCrash(fleet, fleet.node(name), index + 1);
         await fleet.clock.advance(100);
     }
 };
 
-const whoSends = (fleet: FakeFleet): readonly string[] =>
-    fleet.running.filter(node => !node.crashes.isQuarantined(bad)).map(({ id }) => id);
+const instancesThatSend = (fleet: FakeFleet): readonly string[] =>
+    fleet.running.filter(node => !node.crashes.isQuarantined(crashingKey)).map(({ id }) => id);
 
-describe("upstreams that ended under a request", () => {
-    test("are known to all of 19 instances, over a network that loses and repeats", async () => {
+describe("crashes of upstreams while processing a request", () => {
+    test("reach all of 19 instances over a network that loses and repeats messages", async () => {
         for (const seed of [1, 2, 3, 4, 5]) {
             const fleet = await started(19, seed, { maximumDelayMs: 40, dropShare: 0.05, repeatShare: 0.05 });
-            await endThree(fleet);
-            await fleet.clock.advance(knownMs);
-            assert.deepEqual(whoSends(fleet), [], `seed ${seed}`);
+            await recordThreeCrashes(fleet);
+            await fleet.clock.advance(propagationMs);
+            assert.deepEqual(instancesThatSend(fleet), [], `seed ${seed}`);
         }
     });
 
-    test("are known to an instance that starts later, as soon as it has heard one", async () => {
+    test("reach an instance that starts or restarts later within a second", async () => {
         const fleet = await started(19, 6);
-        await endThree(fleet);
+        await recordThreeCrashes(fleet);
         await fleet.clock.advance(60_000);
         fleet.start("n20", ["n1", "n2", "n3"]);
         fleet.start("n9", ["n1", "n2", "n3"]);
         await fleet.clock.advance(1000);
-        assert.deepEqual(whoSends(fleet), []);
+        assert.deepEqual(instancesThatSend(fleet), []);
     });
 
-    test("are known to those that were cut off, soon after the cut has healed", async () => {
+    test("reach partitioned instances soon after the partition ends", async () => {
         const fleet = await started(19, 7);
-        const cutOff = ["n4", "n7", "n16"];
-        fleet.split(cutOff, names(19).filter(name => !cutOff.includes(name)));
+        const partitioned = ["n4", "n7", "n16"];
+        fleet.partition(partitioned, names(19).filter(name => !partitioned.includes(name)));
         await fleet.clock.advance(5000);
-        await endThree(fleet);
+        await recordThreeCrashes(fleet);
         await fleet.clock.advance(10_000);
-        assert.deepEqual([...whoSends(fleet)].sort(), [...cutOff].sort());
-        fleet.heal();
-        await fleet.clock.advance(knownMs);
-        assert.deepEqual(whoSends(fleet), []);
+        assert.deepEqual([...instancesThatSend(fleet)].sort(), [...partitioned].sort());
+        fleet.unblockAll();
+        await fleet.clock.advance(propagationMs);
+        assert.deepEqual(instancesThatSend(fleet), []);
     });
 
-    test("are told by few messages at 300 instances, and then by none", async () => {
+    test("add few messages among 300 instances, and none afterwards", async () => {
         const fleet = await started(300, 8);
-        const idle = fleet.messages;
+        const messagesBeforeIdle = fleet.messages;
         await fleet.clock.advance(5000);
-        const calm = fleet.messages - idle;
+        const idleMessages = fleet.messages - messagesBeforeIdle;
         const before = fleet.messages;
-        await endThree(fleet);
-        await fleet.clock.advance(knownMs);
-        assert.deepEqual(whoSends(fleet), []);
-        await fleet.clock.advance(5000 - knownMs - 300);
-        const busy = fleet.messages - before;
+        await recordThreeCrashes(fleet);
+        await fleet.clock.advance(propagationMs);
+        assert.deepEqual(instancesThatSend(fleet), []);
+        await fleet.clock.advance(5000 - propagationMs - 300);
+        const crashMessages = fleet.messages - before;
         await fleet.clock.advance(10_000);
         const after = fleet.messages;
         await fleet.clock.advance(5000);
-        const silent = fleet.messages - after;
-        assert.ok(busy - calm <= 300 * 12, `${busy} messages in 5 s, ${calm} in calm`);
-        assert.ok(silent <= calm * 1.2, `${silent} messages in 5 s afterwards, ${calm} in calm`);
+        const laterMessages = fleet.messages - after;
+        assert.ok(
+            crashMessages - idleMessages <= 300 * 12,
+            `${crashMessages} messages in 5 s, ${idleMessages} when idle`,
+        );
+        assert.ok(
+            laterMessages <= idleMessages * 1.2,
+            `${laterMessages} messages in 5 s afterwards, ${idleMessages} when idle`,
+        );
     });
 });
--- a/packages/fleet/test/directory.test.ts
+++ b/packages/fleet/test/directory.test.ts
@@ -1,15 +1,20 @@
+/**
+ * Guards against upstreams that stay in use after their removal, and against upstreams that are dropped because their
+ * entries expired or an outdated update arrived.
+ */
+
 import { FakeClock, upstreamId } from "@harrierhitch/core";
 import { type DirectoryEntry, UpstreamDirectory } from "@harrierhitch/published";
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import { discoveredUpstream } from "./discovered-upstream.js";
 
-const listing = (id: string, revision: number, text?: string): DirectoryEntry => ({ upstream: upstreamId(id), revision, text });
+const entry = (id: string, revision: number, text?: string): DirectoryEntry => ({ upstream: upstreamId(id), revision, text });
 
 const names = ["a", "b", "c", "d", "e"];
 
-/** A directory of five upstreams, as it stands at revision 5. */
-const open = (doubt: { doubtfulMs: number; }) => {
+/** Creates a directory of five upstreams at revision 5. */
+const open = (grace: { graceMs: number; }) => {
     const clock = new FakeClock();
     const invalid: string[] = [];
     const directory = new UpstreamDirectory({
@@ -18,7 +23,7 @@
             text === "bad"
                 ? { value: undefined, findings: [{ file: id, section: "", key: "", line: undefined, message: "bad" }] }
                 : { value: discoveredUpstream(id, text), findings: [] },
-        removalGraceMs: () => doubt.doubtfulMs,
+        removalGraceMs: () => grace.graceMs,
         onChange: () => undefined,
         onZoneChange: () => undefined,
         onRemovalConfirmed: () => undefined,
@@ -27,105 +32,109 @@
     directory.merge({
         revision: 5,
         isSnapshot: true,
-        entries: names.map((name, index) => listing(name, index + 1, "ready")),
+        entries: names.map((name, index) => entry(name, index + 1, "ready")),
         zones: [],
     });
-    const listed = (): string => directory.upstreams.map(({ id, draining: leaving }) => leaving ? `${id} leaves` : id).join(", ");
-    return { clock, directory, listed, invalid };
+    const state = (): string => directory.upstreams.map(({ id, draining }) => draining ? `${id} leaves` : id).join(", ");
+    return { clock, directory, state, invalid };
 };
 
 interface Case {
     readonly name: string;
-    readonly doubtfulMs?: number;
-    readonly news: readonly {
+    readonly graceMs?: number;
+    readonly updates: readonly {
         readonly revision: number;
-        readonly whole?: boolean;
-        readonly listings: readonly DirectoryEntry[];
+        readonly isSnapshot?: boolean;
+        readonly entries: readonly DirectoryEntry[];
     }[];
-    readonly atOnce: string;
-    readonly afterwards?: string;
+    readonly immediately: string;
+    readonly afterGrace?: string;
 }
 
 const cases: readonly Case[] = [
-    { name: "one that is gone is gone at once", news: [{ revision: 6, listings: [listing("a", 6)] }], atOnce: "b, c, d, e" },
+    { name: "a removal takes effect at once", updates: [{ revision: 6, entries: [entry("a", 6)] }], immediately: "b, c, d, e" },
     {
-        name: "one that is gone right after the platform's return is used until that is certain, and no longer",
-        doubtfulMs: 700,
-        news: [{ revision: 6, listings: [listing("a", 6)] }],
-        atOnce: "a, b, c, d, e",
-        afterwards: "b, c, d, e",
+        name: "a removal right after an outage of the platform takes effect when the grace period ends",
+        graceMs: 700,
+        updates: [{ revision: 6, entries: [entry("a", 6)] }],
+        immediately: "a, b, c, d, e",
+        afterGrace: "b, c, d, e",
     },
     {
-        name: "one that lapsed and is back was never away",
-        doubtfulMs: 700,
-        news: [{ revision: 6, listings: [listing("a", 6)] }, { revision: 7, listings: [listing("a", 7, "ready")] }],
-        atOnce: "a, b, c, d, e",
+        name: "an entry that expires and returns within the grace period is never removed",
+        graceMs: 700,
+        updates: [{ revision: 6, entries: [entry("a", 6)] }, { revision: 7, entries: [entry("a", 7, "ready")] }],
+        immediately: "a, b, c, d, e",
     },
     {
-        name: "most of them gone at once look like a lapse",
-        news: [{ revision: 9, listings: ["a", "b", "c"].map((name, index) => listing(name, 6 + index)) }],
-        atOnce: "a, b, c, d, e",
-        afterwards: "d, e",
+        name: "removals of most upstreams at once take effect after a grace period",
+        updates: [{ revision: 9, entries: ["a", "b", "c"].map((name, index) => entry(name, 6 + index)) }],
+        immediately: "a, b, c, d, e",
+        afterGrace: "d, e",
     },
     {
-        name: "one that says that it leaves does so at once, also right after the platform's return",
-        doubtfulMs: 700,
-        news: [{ revision: 6, listings: [listing("b", 6, "leaving")] }],
-        atOnce: "a, b leaves, c, d, e",
+        name: "draining takes effect at once, also right after an outage of the platform",
+        graceMs: 700,
+        updates: [{ revision: 6, entries: [entry("b", 6, "leaving")] }],
+        immediately: "a, b leaves, c, d, e",
     },
     {
-        name: "older news never undoes later news",
-        news: [{ revision: 8, listings: [listing("a", 8, "leaving")] }, { revision: 7, listings: [listing("a", 7, "ready")] }],
-        atOnce: "a leaves, b, c, d, e",
+        name: "an entry with a lower revision is ignored",
+        updates: [{ revision: 8, entries: [entry("a", 8, "leaving")] }, { revision: 7, entries: [entry("a", 7, "ready")] }],
+        immediately: "a leaves, b, c, d, e",
     },
     {
-        name: "what a whole read lacks is gone",
-        news: [{ revision: 9, whole: true, listings: names.slice(1).map((name, index) => listing(name, index + 2, "ready")) }],
-        atOnce: "b, c, d, e",
+        name: "an upstream that a snapshot lacks is removed",
+        updates: [{
+            revision: 9,
+            isSnapshot: true,
+            entries: names.slice(1).map((name, index) => entry(name, index + 2, "ready")),
+        }],
+        immediately: "b, c, d, e",
     },
     {
-        name: "what an old whole read lacks is not gone",
-        news: [{ revision: 3, whole: true, listings: [listing("a", 1, "ready")] }],
-        atOnce: "a, b, c, d, e",
+        name: "an upstream that an outdated snapshot lacks is not removed",
+        updates: [{ revision: 3, isSnapshot: true, entries: [entry("a", 1, "ready")] }],
+        immediately: "a, b, c, d, e",
     },
     {
-        name: "a listing that cannot be read names no upstream, and the others hold",
-        news: [{ revision: 6, listings: [listing("a", 6, "bad")] }],
-        atOnce: "b, c, d, e",
+        name: "an entry that cannot be parsed removes its upstream and no other",
+        updates: [{ revision: 6, entries: [entry("a", 6, "bad")] }],
+        immediately: "b, c, d, e",
     },
     {
-        name: "one that can be read again is used again",
-        news: [{ revision: 6, listings: [listing("a", 6, "bad")] }, { revision: 7, listings: [listing("a", 7, "ready")] }],
-        atOnce: "a, b, c, d, e",
+        name: "an upstream whose entry can be parsed again is used again",
+        updates: [{ revision: 6, entries: [entry("a", 6, "bad")] }, { revision: 7, entries: [entry("a", 7, "ready")] }],
+        immediately: "a, b, c, d, e",
     },
 ];
 
-describe("of listed upstreams", () => {
-    cases.forEach(({ name, doubtfulMs = 0, news, atOnce, afterwards = atOnce }) => {
+describe("in the upstream directory", () => {
+    cases.forEach(({ name, graceMs = 0, updates, immediately, afterGrace = immediately }) => {
         test(name, async () => {
-            const { clock, directory, listed } = open({ doubtfulMs });
-            news.forEach(({ revision, whole = false, listings }) =>
-                directory.merge({ revision, isSnapshot: whole, entries: listings, zones: [] })
+            const { clock, directory, state } = open({ graceMs });
+            updates.forEach(({ revision, isSnapshot = false, entries }) =>
+                directory.merge({ revision, isSnapshot, entries, zones: [] })
             );
-            assert.equal(listed(), atOnce);
+            assert.equal(state(), immediately);
             await clock.advance(1500);
-            assert.equal(listed(), afterwards);
+            assert.equal(state(), afterGrace);
         });
     });
 });
 
-test("a listing that cannot be read is told", () => {
-    const { directory, invalid } = open({ doubtfulMs: 0 });
-    directory.merge({ revision: 6, isSnapshot: false, entries: [listing("a", 6, "bad")], zones: [] });
+test("an entry that cannot be parsed is reported", () => {
+    const { directory, invalid } = open({ graceMs: 0 });
+    directory.merge({ revision: 6, isSnapshot: false, entries: [entry("a", 6, "bad")], zones: [] });
     assert.deepEqual(invalid, ["a"]);
 });
 
-test("what one directory passes on brings another one to the same state", async () => {
-    const first = open({ doubtfulMs: 0 });
-    const second = open({ doubtfulMs: 0 });
-    first.directory.merge({ revision: 7, isSnapshot: false, entries: [listing("a", 6), listing("f", 7, "ready")], zones: [] });
+test("the update from one directory brings another one to the same state", async () => {
+    const first = open({ graceMs: 0 });
+    const second = open({ graceMs: 0 });
+    first.directory.merge({ revision: 7, isSnapshot: false, entries: [entry("a", 6), entry("f", 7, "ready")], zones: [] });
     second.directory.merge(first.directory.updatesSince(second.directory.revision));
-    assert.deepEqual([second.listed(), second.directory.revision], [first.listed(), 7]);
+    assert.deepEqual([second.state(), second.directory.revision], [first.state(), 7]);
     const third = new UpstreamDirectory({
         clock: first.clock,
         read: (id, text) => ({ value: discoveredUpstream(id, text), findings: [] }),
@@ -139,16 +148,16 @@
     assert.equal(third.upstreams.length, 5);
 });
 
-test("a removal that one directory doubts is doubted for as long by whoever hears of it", async () => {
-    const doubt = { doubtfulMs: 700 };
-    const first = open(doubt);
-    const second = open({ doubtfulMs: 0 });
-    first.directory.merge({ revision: 6, isSnapshot: false, entries: [listing("a", 6)], zones: [] });
+test("a removal that is unconfirmed in one directory stays unconfirmed for the remaining time in another", async () => {
+    const grace = { graceMs: 700 };
+    const first = open(grace);
+    const second = open({ graceMs: 0 });
+    first.directory.merge({ revision: 6, isSnapshot: false, entries: [entry("a", 6)], zones: [] });
     await first.clock.advance(500);
     second.directory.merge(first.directory.updatesSince(second.directory.revision));
-    assert.equal(second.listed(), "a, b, c, d, e");
+    assert.equal(second.state(), "a, b, c, d, e");
     await second.clock.advance(150);
-    assert.equal(second.listed(), "a, b, c, d, e");
+    assert.equal(second.state(), "a, b, c, d, e");
     await second.clock.advance(100);
-    assert.equal(second.listed(), "b, c, d, e");
+    assert.equal(second.state(), "b, c, d, e");
 });
--- a/packages/fleet/test/discovered-upstream.ts
+++ b/packages/fleet/test/discovered-upstream.ts
@@ -1,11 +1,11 @@
 /**
- * Listed upstreams for tests.
+ * Discovered upstreams for tests.
  */
 
 import type { DiscoveredUpstream } from "@harrierhitch/configuration";
 import { serviceName, type UpstreamId } from "@harrierhitch/core";
 
-/** A listed upstream; its text is `ready` or `leaving`. */
+/** Returns a discovered upstream; it is draining if the text of its entry is `leaving`. */
 export const discoveredUpstream = (id: UpstreamId, text: string): DiscoveredUpstream => ({
     id,
     service: serviceName("main"),
--- a/packages/fleet/test/documents.ts
+++ b/packages/fleet/test/documents.ts
@@ -1,8 +1,8 @@
 /**
- * Documents for tests of the fleet.
+ * Configuration documents for tests of the fleet.
  */
 
-/** A configuration document of a generation. */
+/** Returns a valid configuration document with a generation. */
 export const configurationText = (generation: number, comment = ""): string =>
     `; ${comment}
 generation = ${generation}
--- a/packages/fleet/test/fake-fleet.ts
+++ b/packages/fleet/test/fake-fleet.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet in one process: the code of real instances on a fake clock, over a
- * network that delays, drops, repeats and cuts, by a seeded random source.
+ * A fleet in one process: instances on a fake clock and a simulated network that delays, drops and repeats messages and
+ * blocks connections, from a seeded random source.
  */
 
 import { fromBinary, toBinary } from "@bufbuild/protobuf";
@@ -12,7 +12,7 @@
 import { type DrainMessage, Fleet, type PeerAddress, peerService } from "../src/index.js";
 import { discoveredUpstream } from "./discovered-upstream.js";
 
-/** Faults of the network. */
+/** Faults of the simulated network; shares are those of all messages. */
 export interface NetworkFaults {
     readonly maximumDelayMs: number;
     readonly dropShare: number;
@@ -24,14 +24,14 @@
     readonly id: string;
     readonly incarnation: number;
     readonly fleet: Fleet;
-    readonly accepted: ActiveConfiguration;
+    readonly activeConfiguration: ActiveConfiguration;
     readonly directory: UpstreamDirectory;
     readonly crashes: CrashHistory;
     readonly limits: UpstreamLimits;
-    /** Generations in force, in their order. */
+    /** Generations that became active, in this order. */
     readonly generations: number[];
-    readonly heard: DrainMessage[];
-    offer(text: string): ApplyResult;
+    readonly drainMessages: DrainMessage[];
+    apply(text: string): ApplyResult;
 }
 
 type Implementation = ReturnType<typeof peerService>;
@@ -40,17 +40,17 @@
 
 const portOf = (id: string): number => basePort + Number(id.slice(1));
 
-/** Several instances and their network. */
+/** Several instances and their simulated network. */
 export class FakeFleet {
     readonly clock = new FakeClock();
     readonly random: SeededRandom;
-    /** Messages that were delivered. */
+    /** Number of delivered requests. */
     messages = 0;
-    /** Bytes of requests and answers that were delivered. */
+    /** Bytes of delivered requests and of their responses. */
     bytes = 0;
     private readonly nodes = new Map<string, FakeNode>();
     private readonly services = new Map<string, Implementation>();
-    private readonly cuts = new Set<string>();
+    private readonly blocked = new Set<string>();
 
     constructor(
         seed: number,
@@ -59,7 +59,7 @@
         this.random = new SeededRandom(seed);
     }
 
-    /** The instances that run. */
+    /** The running instances. */
     get running(): readonly FakeNode[] {
         return [...this.nodes.values()];
     }
@@ -72,11 +72,11 @@
         return node;
     }
 
-    /** Starts an instance, which forgets what a former run of it knew. */
+    /** Starts or restarts an instance without any state of its previous incarnation. */
     start(id: string, seeds: readonly string[]): FakeNode {
         this.kill(id);
         const incarnation = Math.floor(this.clock.nowMs()) + 1 + Math.floor(this.random.next() * 1000);
-        const accepted = new ActiveConfiguration();
+        const activeConfiguration = new ActiveConfiguration();
         const directory = new UpstreamDirectory({
             clock: this.clock,
             read: (upstream, text) => ({ value: discoveredUpstream(upstream, text), findings: [] }),
@@ -89,9 +89,9 @@
         const crashes = new CrashHistory({ clock: this.clock });
         const limits = new UpstreamLimits({ clock: this.clock, instance: id });
         const generations: number[] = [];
-        const heard: DrainMessage[] = [];
-        const offer = (text: string): ApplyResult => {
-            const result = accepted.apply("test", text);
+        const drainMessages: DrainMessage[] = [];
+        const apply = (text: string): ApplyResult => {
+            const result = activeConfiguration.apply("test", text);
             if (result.type === "accepted") {
                 generations.push(result.configuration.generation);
                 fleet.gossipNow();
@@ -108,21 +108,32 @@
             address: "127.0.0.1",
             port: portOf(id),
             clients: { to: peer => this.clientFrom(id, peer), close: () => undefined },
-            activeConfiguration: accepted,
+            activeConfiguration,
             directory,
             crashes,
             limits,
             seeds: seeds.map(seed => ({ address: "127.0.0.1", port: portOf(seed) })),
-            onConfiguration: (_, text) => void offer(text),
+            onConfiguration: (_, text) => void apply(text),
             onDirectory: () => undefined,
-            onDrainMessage: rumor => heard.push(rumor),
+            onDrainMessage: message => drainMessages.push(message),
             onSizeChange: () => undefined,
             onDistributorLost: () => undefined,
             onExchange: () => undefined,
             onLimited: () => undefined,
             onUnreachable: () => undefined,
         });
-        const node: FakeNode = { id, incarnation, fleet, accepted, directory, crashes, limits, generations, heard, offer };
+        const node: FakeNode = {
+            id,
+            incarnation,
+            fleet,
+            activeConfiguration,
+            directory,
+            crashes,
+            limits,
+            generations,
+            drainMessages,
+            apply,
+        };
         const never = (): never => {
             throw new TypeError("not used");
         };
@@ -141,31 +152,31 @@
         return node;
     }
 
-    /** Ends an instance at once. */
+    /** Kills an instance. */
     kill(id: string): void {
         this.nodes.get(id)?.fleet.stop();
         this.nodes.delete(id);
         this.services.delete(id);
     }
 
-    /** Cuts the way from one instance to another, one way. */
-    cut(from: string, to: string): void {
-        this.cuts.add(`${from}>${to}`);
+    /** Blocks messages from one instance to another. */
+    block(from: string, to: string): void {
+        this.blocked.add(`${from}>${to}`);
     }
 
-    /** Cuts the ways between two groups, both ways. */
-    split(left: readonly string[], right: readonly string[]): void {
+    /** Blocks messages between two groups in both directions. */
+    partition(left: readonly string[], right: readonly string[]): void {
         left.forEach(a =>
             right.forEach(b => {
-                this.cut(a, b);
-                this.cut(b, a);
+                this.block(a, b);
+                this.block(b, a);
             })
         );
     }
 
-    /** Ends all cuts. */
-    heal(): void {
-        this.cuts.clear();
+    /** Removes all blocks. */
+    unblockAll(): void {
+        this.blocked.clear();
     }
 
     private clientFrom(from: string, peer: PeerAddress): Client<typeof PeerService> {
@@ -196,27 +207,27 @@
     ): Promise<Response> {
         const { faults, clock, random } = this;
         return new Promise((resolve, reject) => {
-            signal?.addEventListener("abort", () => reject(new TypeError("given up")), { once: true });
-            const passes = (a: string, b: string): boolean =>
-                this.services.has(b) && !this.cuts.has(`${a}>${b}`) && random.next() >= faults.dropShare;
-            const once = (): void => {
+            signal?.addEventListener("abort", () => reject(new TypeError("the call timed out")), { once: true });
+            const isDelivered = (a: string, b: string): boolean =>
+                this.services.has(b) && !this.blocked.has(`${a}>${b}`) && random.next() >= faults.dropShare;
+            const sendOnce = (): void => {
                 clock.after(random.next() * faults.maximumDelayMs, () => {
-                    if (!passes(from, to)) {
+                    if (!isDelivered(from, to)) {
                         return;
                     }
                     this.messages += 1;
                     void handle().then(response => {
                         clock.after(random.next() * faults.maximumDelayMs, () => {
-                            if (passes(to, from)) {
+                            if (isDelivered(to, from)) {
                                 resolve(response);
                             }
                         });
                     }, reject);
                 });
             };
-            once();
+            sendOnce();
             if (random.next() < faults.repeatShare) {
-                once();
+                sendOnce();
             }
         });
     }
--- a/packages/fleet/test/fleet.test.ts
+++ b/packages/fleet/test/fleet.test.ts
@@ -1,3 +1,8 @@
+/**
+ * Guards against changes that do not reach all instances, against wrong failure detection, and against exchanges that
+ * multiply under load.
+ */
+
 import { upstreamId } from "@harrierhitch/core";
 import fc from "fast-check";
 import assert from "node:assert/strict";
@@ -7,7 +12,7 @@
 
 const ids = (count: number): readonly string[] => Array.from({ length: count }, (_, index) => `n${index}`);
 
-/** Three instances at most are named as seeds. */
+/** Returns the seeds: at most three instances. */
 const seedsOf = (count: number): readonly string[] => ids(Math.min(3, count));
 
 const startFleet = async (count: number, seed = 1): Promise<FakeFleet> => {
@@ -17,7 +22,7 @@
     return fleet;
 };
 
-/** Messages that are delivered in some time, while something happens ten times a second. */
+/** Returns the number of messages delivered in a time while an action runs ten times a second. */
 const messagesIn = async (fleet: FakeFleet, forMs: number, act: () => void): Promise<number> => {
     const before = fleet.messages;
     for (let passedMs = 0; passedMs < forMs; passedMs += 100) {
@@ -27,31 +32,31 @@
     return fleet.messages - before;
 };
 
-const generationsInForce = (fleet: FakeFleet): readonly (number | undefined)[] =>
+const activeGenerations = (fleet: FakeFleet): readonly (number | undefined)[] =>
     fleet.running.map(node => node.generations.at(-1));
 
-test("a configuration offered at one of 18 instances is in force on all within 2 s", async () => {
+test("a configuration applied at one of 18 instances is active on all within 2 s", async () => {
     const fleet = await startFleet(18);
-    fleet.node("n7").offer(configurationText(3));
+    fleet.node("n7").apply(configurationText(3));
     await fleet.clock.advance(2000);
-    assert.deepEqual(generationsInForce(fleet), ids(18).map(() => 3));
+    assert.deepEqual(activeGenerations(fleet), ids(18).map(() => 3));
 });
 
-test("an observation of one instance is known to all 18 within 2 s, and one of an earlier start never undoes it", async () => {
+test("a drain message of one instance reaches all 18 within 2 s, and one of an earlier incarnation never replaces it", async () => {
     const fleet = await startFleet(18);
     fleet.node("n9").fleet.announceDraining("main-1", 2000);
     await fleet.clock.advance(100);
     fleet.node("n4").fleet.announceDraining("main-1", 1000);
     await fleet.clock.advance(2000);
     const starts = fleet.running.map(node =>
-        node.fleet.drainGossip.pending().find(rumor => rumor.upstream === "main-1")?.startedAtMs
+        node.fleet.drainGossip.pending().find(message => message.upstream === "main-1")?.startedAtMs
     );
     assert.deepEqual(starts, ids(18).map(() => 2000n));
 });
 
-test("an upstream that one reader sees leave is known to leave on all 18 within 2 s, and one that is gone is gone", async () => {
+test("an upstream that one reader finds draining is draining on all 18 within 2 s, and a removed one is removed", async () => {
     const fleet = await startFleet(18);
-    const listing = (name: string, revision: number, text: string | undefined) => ({
+    const entry = (name: string, revision: number, text: string | undefined) => ({
         upstream: upstreamId(name),
         revision,
         text,
@@ -60,7 +65,7 @@
     reader.directory.merge({
         revision: 3,
         isSnapshot: true,
-        entries: [listing("a", 1, "ready"), listing("b", 2, "ready")],
+        entries: [entry("a", 1, "ready"), entry("b", 2, "ready")],
         zones: [],
     });
     reader.fleet.gossipNow();
@@ -68,50 +73,50 @@
     reader.directory.merge({
         revision: 6,
         isSnapshot: false,
-        entries: [listing("a", 5, "leaving"), listing("b", 6, undefined)],
+        entries: [entry("a", 5, "leaving"), entry("b", 6, undefined)],
         zones: [],
     });
     reader.fleet.gossipNow();
     await fleet.clock.advance(2000);
-    const known = fleet.running.map(node => node.directory.upstreams.map(({ id, draining: leaving }) => [id, leaving]));
-    assert.deepEqual(known, ids(18).map(() => [["a", true]]));
+    const upstreams = fleet.running.map(node => node.directory.upstreams.map(({ id, draining }) => [id, draining]));
+    assert.deepEqual(upstreams, ids(18).map(() => [["a", true]]));
 });
 
-test("a restarted instance has the highest generation before it is told to serve", async () => {
+test("a restarted instance has the highest generation before it serves", async () => {
     const fleet = await startFleet(6);
-    fleet.node("n0").offer(configurationText(9));
+    fleet.node("n0").apply(configurationText(9));
     await fleet.clock.advance(2000);
     const node = fleet.start("n3", seedsOf(6));
-    const heard = node.fleet.contactPeers(2000);
+    const hasContact = node.fleet.contactPeers(2000);
     await fleet.clock.advance(2000);
-    assert.deepEqual([await heard, node.generations.at(-1)], [true, 9]);
+    assert.deepEqual([await hasContact, node.generations.at(-1)], [true, 9]);
 });
 
-test("an instance that hears nobody says so", async () => {
+test("an instance that reaches no peer reports so", async () => {
     const fleet = await startFleet(3);
-    fleet.split(["n0"], ["n1", "n2"]);
-    const heard = fleet.start("n0", seedsOf(3)).fleet.contactPeers(2000);
+    fleet.partition(["n0"], ["n1", "n2"]);
+    const hasContact = fleet.start("n0", seedsOf(3)).fleet.contactPeers(2000);
     await fleet.clock.advance(3000);
-    assert.equal(await heard, false);
+    assert.equal(await hasContact, false);
 });
 
-test("two contents under one generation are settled alike everywhere", async () => {
+test("two documents with one generation result in the same active configuration everywhere", async () => {
     const fleet = await startFleet(6);
-    fleet.node("n0").offer(configurationText(4, "one"));
-    fleet.node("n5").offer(configurationText(4, "other"));
+    fleet.node("n0").apply(configurationText(4, "one"));
+    fleet.node("n5").apply(configurationText(4, "other"));
     await fleet.clock.advance(4000);
-    assert.equal(new Set(fleet.running.map(node => node.accepted.current?.configuration.hash)).size, 1);
+    assert.equal(new Set(fleet.running.map(node => node.activeConfiguration.current?.configuration.hash)).size, 1);
 });
 
-test("an older generation, an invalid and a garbled document change nothing", async () => {
+test("an older generation, an invalid and a garbled document are ignored", async () => {
     const fleet = await startFleet(3);
-    fleet.node("n0").offer(configurationText(4));
+    fleet.node("n0").apply(configurationText(4));
     await fleet.clock.advance(1000);
     const results = [configurationText(3), configurationText(5).replace("random", "no-such"), "\u0000"].map(text =>
-        fleet.node("n1").offer(text).type
+        fleet.node("n1").apply(text).type
     );
     await fleet.clock.advance(1000);
-    assert.deepEqual([results, generationsInForce(fleet)], [["older", "invalid", "invalid"], [4, 4, 4]]);
+    assert.deepEqual([results, activeGenerations(fleet)], [["older", "invalid", "invalid"], [4, 4, 4]]);
 });
 
 interface MemberFault {
@@ -123,13 +128,17 @@
 const memberFaults: readonly MemberFault[] = [
     { name: "lives", act: () => undefined, state: "alive" },
     { name: "is killed", act: fleet => fleet.kill("n3"), state: "failed" },
-    { name: "is cut off both ways", act: fleet => fleet.split(["n3"], ["n0", "n1", "n2", "n4", "n5"]), state: "failed" },
-    { name: "cannot be reached by two of five, but by others", act: fleet => fleet.split(["n3"], ["n0", "n1"]), state: "alive" },
+    {
+        name: "is partitioned in both directions",
+        act: fleet => fleet.partition(["n3"], ["n0", "n1", "n2", "n4", "n5"]),
+        state: "failed",
+    },
+    { name: "is unreachable for two of five others", act: fleet => fleet.partition(["n3"], ["n0", "n1"]), state: "alive" },
     { name: "announces that it leaves", act: fleet => void fleet.node("n3").fleet.announceLeaving(), state: "left" },
     { name: "is restarted", act: fleet => void fleet.start("n3", seedsOf(6)), state: "alive" },
 ];
 
-describe("to the others an instance that", () => {
+describe("for the others an instance that", () => {
     memberFaults.forEach(({ name, act, state }) => {
         test(`${name} is ${state}`, async () => {
             const fleet = await startFleet(6);
@@ -141,7 +150,7 @@
     });
 });
 
-test("readers are few, differ from none, and are replaced within seconds when they are cut off or killed", async () => {
+test("readers are few, never none, and are replaced within seconds when they are killed or lose the platform", async () => {
     const fleet = await startFleet(18);
     const readers = () => fleet.running.filter(node => node.fleet.roles.isReader);
     const before = readers();
@@ -154,21 +163,21 @@
     assert.ok(readers().some(node => node.fleet.members.self.platformReachable));
 });
 
-test("an instance that slept does not take the others for dead", async () => {
+test("an instance that was suspended does not consider the others failed", async () => {
     const fleet = await startFleet(3);
     fleet.clock.pause(20_000);
     fleet.node("n0").fleet.resumeAfterStall(20_000);
     assert.deepEqual(["n1", "n2"].map(id => fleet.node("n0").fleet.members.stateOf(id)), ["alive", "alive"]);
 });
 
-test("instances that wake a little late many times a second ask nobody for it", async () => {
+test("frequent short stalls cause no additional exchanges", async () => {
     const fleet = await startFleet(12);
     const quiet = await messagesIn(fleet, 3000, () => undefined);
-    const late = await messagesIn(fleet, 3000, () => fleet.running.forEach(node => node.fleet.resumeAfterStall(110)));
-    assert.ok(late < quiet * 1.3, `${late} messages, ${quiet} before`);
+    const stalled = await messagesIn(fleet, 3000, () => fleet.running.forEach(node => node.fleet.resumeAfterStall(110)));
+    assert.ok(stalled < quiet * 1.3, `${stalled} messages, ${quiet} before`);
 });
 
-test("slow answers do not make instances ask oftener", async () => {
+test("slow responses do not make instances poll more often", async () => {
     const fleet = new FakeFleet(5, { maximumDelayMs: 140, dropShare: 0, repeatShare: 0 });
     ids(12).forEach(id => fleet.start(id, seedsOf(12)));
     const confirm = (): void => {
@@ -178,10 +187,10 @@
     confirm();
     await fleet.clock.advance(8000);
     const messages = await messagesIn(fleet, 10_000, () => undefined);
-    assert.ok(messages / 10 / 12 < 1.7, `${messages / 10 / 12} messages a second for each instance`);
+    assert.ok(messages / 10 / 12 < 1.7, `${messages / 10 / 12} messages per second and instance`);
 });
 
-test("under random cuts no generation falls, and after the heal all agree", async () => {
+test("under random partitions no generation decreases, and afterwards all instances agree", async () => {
     const cut = fc.record({
         from: fc.integer({ min: 0, max: 5 }),
         to: fc.integer({ min: 0, max: 5 }),
@@ -194,15 +203,15 @@
             async (seed, steps) => {
                 const fleet = await startFleet(6, seed);
                 for (const [index, { from, to, offer }] of steps.entries()) {
-                    fleet.cut(`n${from}`, `n${to}`);
-                    fleet.node(`n${offer}`).offer(configurationText(index + 1));
+                    fleet.block(`n${from}`, `n${to}`);
+                    fleet.node(`n${offer}`).apply(configurationText(index + 1));
                     await fleet.clock.advance(300);
                 }
-                fleet.heal();
+                fleet.unblockAll();
                 await fleet.clock.advance(8000);
                 fleet.running.forEach(node => node.fleet.stop());
                 fleet.running.forEach(node => assert.deepEqual(node.generations, [...node.generations].sort((a, b) => a - b)));
-                assert.deepEqual(generationsInForce(fleet), ids(6).map(() => steps.length));
+                assert.deepEqual(activeGenerations(fleet), ids(6).map(() => steps.length));
                 assert.equal(fleet.running.every(node => node.fleet.members.alive.length === 6), true);
             },
         ),
--- a/packages/fleet/test/limits-spread.test.ts
+++ b/packages/fleet/test/limits-spread.test.ts
@@ -1,6 +1,6 @@
 /**
- * Only the few instances that send to an upstream hear what it says of how much it takes; all have to know, and none of them may go on
- * telling the others for good.
+ * Guards against an announced rate limit that does not reach all instances, because only a few send to the upstream, and
+ * against gossip about it that does not stop.
  */
 
 import { upstreamId } from "@harrierhitch/core";
@@ -8,10 +8,10 @@
 import { describe, test } from "node:test";
 import { FakeFleet, type FakeNode, type NetworkFaults } from "./fake-fleet.js";
 
-const start = { id: upstreamId("u1"), startedAtMs: 100 };
+const incarnation = { id: upstreamId("u1"), startedAtMs: 100 };
 
-const known = (nodes: readonly FakeNode[]): readonly (number | undefined)[] =>
-    nodes.map(({ limits }) => limits.find(start)?.perSecond);
+const storedLimits = (nodes: readonly FakeNode[]): readonly (number | undefined)[] =>
+    nodes.map(({ limits }) => limits.find(incarnation)?.perSecond);
 
 const open = async (seed: number, count: number, faults?: NetworkFaults): Promise<FakeFleet> => {
     const fleet = new FakeFleet(seed, faults);
@@ -20,41 +20,41 @@
     return fleet;
 };
 
-const hear = (fleet: FakeFleet, name: string, perSecond: number | undefined): void => {
-    const { limits, fleet: part } = fleet.node(name);
-    if (limits.record(start, perSecond, fleet.clock.nowMs())) {
-        part.gossipNow();
+const announce = (fleet: FakeFleet, name: string, perSecond: number | undefined): void => {
+    const { limits, fleet: membership } = fleet.node(name);
+    if (limits.record(incarnation, perSecond, fleet.clock.nowMs())) {
+        membership.gossipNow();
     }
 };
 
-describe("what one instance hears of how much an upstream takes", () => {
+describe("a rate limit that an upstream announces to one instance", () => {
     [{ count: 5, withinMs: 300 }, { count: 19, withinMs: 1500 }, { count: 99, withinMs: 2500 }].forEach(({ count, withinMs }) => {
-        test(`is known to all ${count} within ${withinMs} ms, and so is its end`, async () => {
+        test(`reaches all ${count} within ${withinMs} ms, and so does its end`, async () => {
             const fleet = await open(1, count);
-            hear(fleet, "n4", 3.6);
+            announce(fleet, "n4", 3.6);
             await fleet.clock.advance(withinMs);
-            assert.deepEqual([...new Set(known(fleet.running))], [3.6]);
-            hear(fleet, "n3", undefined);
+            assert.deepEqual([...new Set(storedLimits(fleet.running))], [3.6]);
+            announce(fleet, "n3", undefined);
             await fleet.clock.advance(withinMs);
-            assert.deepEqual([...new Set(known(fleet.running))], [undefined]);
+            assert.deepEqual([...new Set(storedLimits(fleet.running))], [undefined]);
         });
     });
 
     [1, 2, 3].forEach(seed => {
-        test(`is known to all in the end though messages are lost, repeated and cut, seed ${seed}`, async () => {
+        test(`reaches all eventually though messages are lost, repeated and blocked, seed ${seed}`, async () => {
             const fleet = await open(seed, 9, { maximumDelayMs: 40, dropShare: 0.2, repeatShare: 0.2 });
-            fleet.split(["n0", "n1", "n2", "n3"], ["n4", "n5", "n6", "n7", "n8"]);
-            hear(fleet, "n1", 5);
+            fleet.partition(["n0", "n1", "n2", "n3"], ["n4", "n5", "n6", "n7", "n8"]);
+            announce(fleet, "n1", 5);
             await fleet.clock.advance(700);
-            hear(fleet, "n6", 2);
+            announce(fleet, "n6", 2);
             await fleet.clock.advance(700);
-            fleet.heal();
+            fleet.unblockAll();
             await fleet.clock.advance(9000);
-            assert.deepEqual([...new Set(known(fleet.running))], [2]);
+            assert.deepEqual([...new Set(storedLimits(fleet.running))], [2]);
         });
     });
 
-    test("is told no longer than that takes: a fleet in which many hear the same is as quiet afterwards as before", async () => {
+    test("is gossiped for a limited time: a fleet in which several receive it is as quiet afterwards as before", async () => {
         const fleet = await open(1, 19);
         const count = async (): Promise<number> => {
             const before = fleet.messages;
@@ -62,7 +62,7 @@
             return fleet.messages - before;
         };
         const quiet = await count();
-        ["n3", "n7", "n11", "n15"].forEach(name => hear(fleet, name, 4));
+        ["n3", "n7", "n11", "n15"].forEach(name => announce(fleet, name, 4));
         await fleet.clock.advance(12_000);
         const after = await count();
         assert.ok(after < quiet * 1.1, `${after} messages, ${quiet} before`);
--- a/packages/fleet/test/member-assignment.test.ts
+++ b/packages/fleet/test/member-assignment.test.ts
@@ -1,3 +1,8 @@
+/**
+ * Guards against too many instances sending to one cold upstream, and against instances that disagree on the participants
+ * of a rate limit.
+ */
+
 import { create } from "@bufbuild/protobuf";
 import { FakeClock, instanceId, SeededRandom } from "@harrierhitch/core";
 import { type Member, MemberSchema } from "@harrierhitch/protocol";
@@ -11,7 +16,7 @@
 
 const memberOf = (index: number): Member => create(MemberSchema, { instance: instanceId(`n${index}`), incarnation: 1n });
 
-/** What some instance chooses by that knows these members. */
+/** Creates the assignment of an instance that knows some members. */
 const open = async (self: number, known: readonly number[], afterMs = settleMs) => {
     const clock = new FakeClock();
     const members = new Members({ clock, self: memberOf(self), times: defaultFleetTimes });
@@ -21,26 +26,26 @@
     return { chosen, members };
 };
 
-/** What some instance finds that knows these members. */
+/** Returns the number of participants that an instance finds for a cold upstream. */
 const sharersOf = async (self: number, known: readonly number[], upstream: string, afterMs = settleMs): Promise<number> =>
     (await open(self, known, afterMs)).chosen.participantsOf(upstream);
 
 const range = (count: number): readonly number[] => Array.from({ length: count }, (_, index) => index);
 
-describe("of the instances that know each other", () => {
+describe("of instances that know each other", () => {
     [95, 312, 900].forEach(size => {
-        test(`three of ${size} share each cold upstream`, async () => {
+        test(`three of ${size} are participants of each cold upstream`, async () => {
             const finds = await Promise.all(range(size).map(self => sharersOf(self, range(size), "u1")));
             assert.deepEqual(finds.filter(count => count > 0), [3, 3, 3]);
         });
     });
 
-    test("none shares one before it has had time to hear of the others", async () => {
+    test("none is a participant before it has had time to discover the others", async () => {
         const finds = await Promise.all(range(95).map(self => sharersOf(self, [], "u1", settleMs - 1)));
         assert.ok(finds.every(count => count === 0));
     });
 
-    test("fewer than twelve of 95 share one while each knows a random half of the others", async () => {
+    test("fewer than twelve of 95 are participants of an upstream while each knows a random half of the others", async () => {
         const random = new SeededRandom(12);
         const known = range(95).map(() => range(95).filter(() => random.next() < 0.5));
         const counts = await Promise.all(
@@ -49,14 +54,14 @@
                 return finds.filter(count => count > 0).length;
             }),
         );
-        assert.ok(Math.max(...counts) < 12, `up to ${Math.max(...counts)} sharers`);
+        assert.ok(Math.max(...counts) < 12, `up to ${Math.max(...counts)} participants`);
     });
 });
 
-describe("of the instances that share what an upstream takes", () => {
+describe("of instances that share the rate limit of an upstream", () => {
     [3, 13, 95, 300].forEach(size =>
         [2, 9, 42].forEach(wanted => {
-            test(`as many as are wanted, ${wanted} of ${size}, agree who they are and how many`, async () => {
+            test(`${wanted} of ${size} are wanted as participants, and all agree on the number and the members`, async () => {
                 const shares = await Promise.all(
                     range(size).map(async self => (await open(self, range(size))).chosen.limitShare("u1", wanted)),
                 );
@@ -67,9 +72,9 @@
         })
     );
 
-    test("none is one that has heard of nobody, has just joined, or leaves", async () => {
+    test("an instance that knows no other, has just joined, or leaves is no participant", async () => {
         const lonely = await open(0, []);
-        assert.deepEqual(lonely.chosen.limitShare("u1", 9), { isSharer: false, sharers: 2, members: 2 });
+        assert.deepEqual(lonely.chosen.limitShare("u1", 9), { isParticipant: false, participants: 2, members: 2 });
         const early = await open(0, range(3), settleMs - 1);
         assert.equal(early.chosen.limitShare("u1", 9).isParticipant, false);
         const leaving = await open(0, range(3));
@@ -78,7 +83,7 @@
         assert.equal(leaving.chosen.limitShare("u1", 9).isParticipant, false);
     });
 
-    test("others count that become known later", async () => {
+    test("members that are discovered later count", async () => {
         const { chosen, members } = await open(0, range(3));
         assert.equal(chosen.limitShare("u1", 9).participants, 3);
         members.merge(range(8).map(memberOf), "other");
