--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The load balancer daemon of an entry instance.
+ * The load balancer daemon that runs on each entry instance.
  *
  * @packageDocumentation
  */
--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -103,10 +103,10 @@
             probeBudget: this.probeBudget,
             telemetry: this.telemetry,
         });
-        const { activeConfiguration: accepted, services: registry, telemetry } = this;
+        const { activeConfiguration, services: registry, telemetry } = this;
         this.requestDispatcher = new RequestDispatcher({
             services,
-            accepted,
+            accepted: activeConfiguration,
             registry,
             telemetry,
             samples: new LowDiscrepancySequence(random),
--- a/packages/daemon/src/platform/platform.ts
+++ b/packages/daemon/src/platform/platform.ts
@@ -37,7 +37,7 @@
      *
      * @param revision - The revision that the caller already has.
      * @param signal - Cancels the watch.
-     * @param waitMs - Longest time to wait for a change; 0 returns the changes so far.
+     * @param longPollMs - Longest time to wait for a change, in milliseconds; 0 returns the changes so far.
      * @returns The changes; none if nothing changed within that time.
      * @throws {@link HistoryLostError} if the changes since that revision are no longer available.
      * @throws {@link PlatformError} if the call fails or the response is invalid.
--- a/packages/daemon/src/telemetry/spans.ts
+++ b/packages/daemon/src/telemetry/spans.ts
@@ -61,7 +61,7 @@
 
 const stepParts = (
     record: DecisionRecord,
-    { atMs, durationMs: tookMs, decision, input }: DecisionStep,
+    { atMs, durationMs, decision, input }: DecisionStep,
     index: number,
 ): readonly SpanParts[] => {
     const common = { kind: SpanKind.INTERNAL, parentSpanId: record.spanId, failed: decision.policyFailure !== undefined };
@@ -77,7 +77,7 @@
         name: `decide ${index + 1}`,
         spanId: newSpanId(),
         startMs: atMs,
-        endMs: atMs + tookMs,
+        endMs: atMs + durationMs,
         attributes,
     };
     if (decision.action !== "hold") {
@@ -85,7 +85,14 @@
     }
     const endMs = record.steps[index + 1]?.atMs ?? record.durationMs ?? atMs;
     const holdAttributes = { "harrierhitch.cause": decision.cause };
-    return [decide, { ...common, name: "hold", spanId: newSpanId(), startMs: atMs + tookMs, endMs, attributes: holdAttributes }];
+    return [decide, {
+        ...common,
+        name: "hold",
+        spanId: newSpanId(),
+        startMs: atMs + durationMs,
+        endMs,
+        attributes: holdAttributes,
+    }];
 };
 
 const attemptParts = (record: DecisionRecord, attempt: AttemptRecord): SpanParts => ({
--- a/packages/daemon/src/upstream/http-attempt.ts
+++ b/packages/daemon/src/upstream/http-attempt.ts
@@ -115,11 +115,11 @@
 
     /** Withdraws the request if its upstream may no longer receive it, since it may have waited for a connection. */
     private withdrawIfDisallowed(): boolean {
-        const mayBegin = this.outgoing.mayBegin?.() ?? true;
-        if (!mayBegin) {
+        const isAllowed = this.outgoing.mayBegin?.() ?? true;
+        if (!isAllowed) {
             this.request.destroy(new AttemptWithdrawnError());
         }
-        return !mayBegin;
+        return !isAllowed;
     }
 
     private onSocket(socket: Socket): void {
