--- a/packages/decision/src/index.ts
+++ b/packages/decision/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Choosing an upstream, limits, health, budgets and retries.
+ * Selecting an upstream for a request, concurrency and rate limits, health, retry budgets and quarantines.
  *
  * @packageDocumentation
  */
--- a/packages/decision/test/cold-admission.test.ts
+++ b/packages/decision/test/cold-admission.test.ts
@@ -1,3 +1,8 @@
+/**
+ * Guards against cold upstreams that receive more requests than they sustain, and against state of a previous incarnation
+ * that is applied to a new one.
+ */
+
 import { FakeClock, SeededRandom, upstreamId } from "@harrierhitch/core";
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
@@ -6,12 +11,12 @@
 const cold = { id: upstreamId("u1"), requestsPerSecond: 2.5 };
 
 describe("a cold upstream", () => {
-    test("is left alone by an instance that does not share it, or does not know the others yet", () => {
+    test("receives nothing from an instance that is no participant, or does not know the other members yet", () => {
         const admission = new SharedColdAdmission({ clock: new FakeClock(), participantsOf: () => 0 });
         assert.equal(admission.mayAdmit(cold), false);
     });
 
-    test("gets a request from a sharer in even steps", async () => {
+    test("receives requests from a participant at even intervals", async () => {
         const clock = new FakeClock();
         const admission = new SharedColdAdmission({ clock, participantsOf: () => 3 });
         const sentAtMs: number[] = [];
@@ -25,7 +30,7 @@
         assert.deepEqual(sentAtMs, [0, 1200, 2400, 3600, 4800]);
     });
 
-    test("is not bounded where the service names no bound", () => {
+    test("has no rate limit if the service configures none", () => {
         const admission = new SharedColdAdmission({ clock: new FakeClock(), participantsOf: () => 0 });
         assert.equal(admission.mayAdmit({ ...cold, requestsPerSecond: 0 }), true);
     });
@@ -42,20 +47,20 @@
     ...change,
 });
 
-const open = (mayTake = true) => {
+const open = (mayAdmit = true) => {
     const clock = new FakeClock();
     let sent = 0;
-    const coldAdmission = { mayAdmit: () => mayTake, recordSent: () => void (sent += 1) };
-    const beliefs = new UpstreamTracker({ clock, availabilityZone: "a", coldAdmission });
+    const coldAdmission = { mayAdmit: () => mayAdmit, recordSent: () => void (sent += 1) };
+    const tracker = new UpstreamTracker({ clock, availabilityZone: "a", coldAdmission });
     const configure = (change: Readonly<Record<string, unknown>> = {}): void =>
-        beliefs.configure({ upstreams: [], maximumConnections: 100, coldRequestsPerSecond: 2.5 }, 10, [upstream(change)]);
-    const facts = () => beliefs.facts()[0]!;
+        tracker.configure({ upstreams: [], maximumConnections: 100, coldRequestsPerSecond: 2.5 }, 10, [upstream(change)]);
+    const facts = () => tracker.facts()[0]!;
     configure();
-    return { clock, beliefs, configure, facts, sent: () => sent };
+    return { clock, beliefs: tracker, configure, facts, sent: () => sent };
 };
 
-describe("an upstream that becomes cold without leaving", () => {
-    test("by its listing, is cold for that time and takes what is admitted only", async () => {
+describe("an upstream that becomes cold without a restart", () => {
+    test("is cold for the time in its directory entry, and receives only admitted requests", async () => {
         const { clock, configure, facts } = open(false);
         configure({ coldMs: 3000 });
         assert.deepEqual([facts().state, facts().limit], ["cold", 0]);
@@ -64,38 +69,38 @@
         assert.ok(facts().limit > 0);
     });
 
-    test("by its own word, is cold", () => {
-        const { beliefs, facts } = open();
-        beliefs.observe(upstreamId("u1"), { type: "cooled", atMs: 0, coldMs: 500 }, 100);
+    test("is cold after its own notice", () => {
+        const { beliefs: tracker, facts } = open();
+        tracker.observe(upstreamId("u1"), { type: "cooled", atMs: 0, coldMs: 500 }, 100);
         assert.equal(facts().state, "cold");
     });
 
-    test("stays no longer cold because the same listing is taken over again", async () => {
-        const { clock, beliefs, facts } = open();
-        const listed = upstream({ coldMs: 1000 });
+    test("does not stay cold for longer when the same entry is applied again", async () => {
+        const { clock, beliefs: tracker, facts } = open();
+        const entry = upstream({ coldMs: 1000 });
         const service = { upstreams: [], maximumConnections: 100, coldRequestsPerSecond: 2.5 };
-        beliefs.configure(service, 10, [listed]);
+        tracker.configure(service, 10, [entry]);
         await clock.advance(900);
-        beliefs.configure(service, 10, [listed]);
+        tracker.configure(service, 10, [entry]);
         await clock.advance(100);
         assert.equal(facts().state, "ready");
     });
 
-    test("takes one of two requests that were decided in the same moment", () => {
+    test("admits only one of two requests that are decided at the same moment", () => {
         const clock = new FakeClock();
         const coldAdmission = new SharedColdAdmission({ clock, participantsOf: () => 1 });
-        const beliefs = new UpstreamTracker({ clock, availabilityZone: "a", coldAdmission });
-        const listed = upstream({ coldMs: 1000 });
-        beliefs.configure({ upstreams: [], maximumConnections: 100, coldRequestsPerSecond: 2.5 }, 10, [listed]);
-        assert.equal(beliefs.admits(listed), true);
-        beliefs.startRequest(listed.id);
-        assert.equal(beliefs.admits(listed), false);
+        const tracker = new UpstreamTracker({ clock, availabilityZone: "a", coldAdmission });
+        const entry = upstream({ coldMs: 1000 });
+        tracker.configure({ upstreams: [], maximumConnections: 100, coldRequestsPerSecond: 2.5 }, 10, [entry]);
+        assert.equal(tracker.admits(entry), true);
+        tracker.startRequest(entry.id);
+        assert.equal(tracker.admits(entry), false);
     });
 
-    test("counts what is sent to it", () => {
-        const { beliefs, configure, sent } = open();
+    test("counts the requests that are sent to it", () => {
+        const { beliefs: tracker, configure, sent } = open();
         configure({ coldMs: 1000 });
-        beliefs.startRequest(upstreamId("u1"));
+        tracker.startRequest(upstreamId("u1"));
         assert.equal(sent(), 1);
     });
 });
@@ -112,65 +117,65 @@
 
 const cases: readonly Case[] = [
     {
-        name: "is believed nothing of, whatever was known of the one before",
-        act: ({ beliefs, configure }) => {
-            beliefs.startRequest(id);
-            beliefs.observe(id, { type: "reported", atMs: 0, inFlight: 5 }, 100);
+        name: "starts without the estimate of the previous one",
+        act: ({ beliefs: tracker, configure }) => {
+            tracker.startRequest(id);
+            tracker.observe(id, { type: "reported", atMs: 0, inFlight: 5 }, 100);
             configure({ startedAtMs: 200 });
         },
         state: "ready",
     },
     {
-        name: "does not leave because the one before did",
-        act: ({ beliefs, configure }) => {
-            beliefs.observe(id, { type: "draining", atMs: 0 }, 100);
+        name: "is not draining because the previous one was",
+        act: ({ beliefs: tracker, configure }) => {
+            tracker.observe(id, { type: "draining", atMs: 0 }, 100);
             configure({ startedAtMs: 200 });
         },
         state: "ready",
     },
     {
-        name: "does not leave by late news of the one before",
-        act: ({ beliefs, configure }) => {
+        name: "ignores a late draining notice of the previous one",
+        act: ({ beliefs: tracker, configure }) => {
             configure({ startedAtMs: 200 });
-            beliefs.observe(id, { type: "draining", atMs: 50 }, 100);
+            tracker.observe(id, { type: "draining", atMs: 50 }, 100);
         },
         state: "ready",
     },
     {
-        name: "leaves by news of its own",
-        act: ({ beliefs, configure }) => {
+        name: "is draining after its own notice",
+        act: ({ beliefs: tracker, configure }) => {
             configure({ startedAtMs: 200 });
-            beliefs.observe(id, { type: "draining", atMs: 50 }, 200);
+            tracker.observe(id, { type: "draining", atMs: 50 }, 200);
         },
         state: "draining",
     },
     {
-        name: "is not loaded by an answer that the one before gave late",
-        act: ({ beliefs, configure }) => {
+        name: "ignores a late load report of the previous one",
+        act: ({ beliefs: tracker, configure }) => {
             configure({ startedAtMs: 200 });
-            beliefs.observe(id, { type: "reported", atMs: 0, inFlight: 5 }, 100);
+            tracker.observe(id, { type: "reported", atMs: 0, inFlight: 5 }, 100);
         },
         state: "ready",
     },
     {
-        name: "keeps its own requests when one that went to the one before ends",
-        act: ({ beliefs, configure }) => {
-            const before = beliefs.startRequest(id);
+        name: "keeps its requests in flight when a request to the previous one ends",
+        act: ({ beliefs: tracker, configure }) => {
+            const previous = tracker.startRequest(id);
             configure({ startedAtMs: 200 });
-            beliefs.startRequest(id);
-            beliefs.finishRequest(before);
+            tracker.startRequest(id);
+            tracker.finishRequest(previous);
         },
         state: "ready",
         inFlight: 1,
     },
     {
-        name: "is cold as its listing says",
+        name: "is cold for the time in its directory entry",
         act: ({ configure }) => configure({ startedAtMs: 200, coldMs: 3000 }),
         state: "cold",
     },
 ];
 
-describe("a start under the id of an earlier one", () => {
+describe("a new incarnation with the id of a previous one", () => {
     cases.forEach(({ name, act, state, inFlight = 0, reported = -1 }) => {
         test(name, () => {
             const parts = open();
@@ -181,17 +186,17 @@
     });
 });
 
-/** The most requests that one cold upstream gets in any second from many instances that all would like to send there. */
+/** Returns the most requests that one cold upstream receives in any second from many instances that all have requests for it. */
 const mostInASecond = async (views: readonly number[]): Promise<number> => {
     const clock = new FakeClock();
     const random = new SeededRandom(9);
-    // Each view of the fleet has three sharers of its own.
-    const sharers = views.flatMap(size =>
+    // Each part of the fleet has its own three participants.
+    const participants = views.flatMap(size =>
         Array.from({ length: size }, () => new SharedColdAdmission({ clock, participantsOf: () => 3 }))
     );
     const arrivals: number[] = [];
     for (let passedMs = 0; passedMs < 20_000; passedMs += 10) {
-        sharers.filter(() => random.next() < 0.2).filter(each => each.mayAdmit(cold)).forEach(each => {
+        participants.filter(() => random.next() < 0.2).filter(each => each.mayAdmit(cold)).forEach(each => {
             each.recordSent(cold);
             arrivals.push(clock.nowMs());
         });
@@ -200,7 +205,7 @@
     return Math.max(...arrivals.map(atMs => arrivals.filter(other => other >= atMs && other < atMs + 1000).length));
 };
 
-test("three sharers stay at three requests in any second, and three views of the fleet without a common member at nine", async () => {
+test("three participants send at most three requests in any second, and three separate parts of the fleet at most nine", async () => {
     assert.equal(await mostInASecond([3]), 3);
     assert.ok(await mostInASecond([3, 3, 3]) <= 9);
 });
--- a/packages/decision/test/crash-history.test.ts
+++ b/packages/decision/test/crash-history.test.ts
@@ -1,6 +1,6 @@
 /**
- * One request ended 22 upstreams one after the other, while the others that were under way there were merely lost with
- * them. The two have to be told apart from the same lines: a connection that broke, and a port that is closed since.
+ * Guards against requests that crash one upstream after another, and against quarantines of requests that were only in
+ * flight at the same time.
  */
 
 import { FakeClock, type RequestKey, requestKey, SeededRandom } from "@harrierhitch/core";
@@ -9,7 +9,7 @@
 import { describe, test } from "node:test";
 import { CrashHistory, type CrashRecord, detectPoisonRequests } from "../src/index.js";
 
-/** A key of which each part tells what it stands for. */
+/** Returns a key with readable parts. */
 const keyOf = (path: string, caller = "c", query = "q", body = "b"): RequestKey =>
     requestKey(path.padEnd(16, "_") + [caller, query, body].map(trait => trait.padEnd(8, "_")).join(""));
 
@@ -17,13 +17,13 @@
 const popular = keyOf("popular");
 const other = keyOf("other");
 
-let runs = 0;
+let recordCount = 0;
 
-/** A run of 50 ms that ended with its upstream. */
-const ended = (key: RequestKey, upstream: string, endedAtMs: number, more: Partial<CrashRecord> = {}): CrashRecord => {
-    runs += 1;
+/** Returns the record of a crash 50 ms after the request was sent. */
+const crashed = (key: RequestKey, upstream: string, endedAtMs: number, more: Partial<CrashRecord> = {}): CrashRecord => {
+    recordCount += 1;
     return {
-        id: `entry-1.a.${runs}.1`,
+        id: `entry-1.a.${recordCount}.1`,
         key,
         upstream,
         endedAtMs,
@@ -35,49 +35,49 @@
     };
 };
 
-const withheld = (all: readonly CrashRecord[]): readonly string[] => [...detectPoisonRequests(all).keys()];
+const quarantined = (all: readonly CrashRecord[]): readonly string[] => [...detectPoisonRequests(all).keys()];
 
-describe("a request is withheld", () => {
-    test("when three upstreams ended under it, one after the other", () => {
-        const three = [ended(bad, "u1", 100), ended(bad, "u2", 200), ended(bad, "u3", 300)];
-        assert.deepEqual(withheld(three.slice(0, 2)), []);
-        assert.deepEqual(withheld(three), [bad]);
+describe("a request is quarantined", () => {
+    test("when three upstreams crashed one after the other while processing it", () => {
+        const three = [crashed(bad, "u1", 100), crashed(bad, "u2", 200), crashed(bad, "u3", 300)];
+        assert.deepEqual(quarantined(three.slice(0, 2)), []);
+        assert.deepEqual(quarantined(three), [bad]);
     });
 
-    test("also when it is one upstream that comes back under its id", () => {
-        assert.deepEqual(withheld([ended(bad, "u1", 100), ended(bad, "u1", 5000), ended(bad, "u1", 9000)]), [bad]);
+    test("also when it is one upstream that restarts with the same id", () => {
+        assert.deepEqual(quarantined([crashed(bad, "u1", 100), crashed(bad, "u1", 5000), crashed(bad, "u1", 9000)]), [bad]);
     });
 
-    test("and not one that was under way beside it at the same upstreams", () => {
+    test("and not another one that was in flight at the same upstreams", () => {
         const both = ["u1", "u2", "u3"].flatMap((upstream, index) => [
-            ended(bad, upstream, 100 * (index + 1)),
-            ...(index < 2 ? [ended(other, upstream, 100 * (index + 1) + 3)] : []),
+            crashed(bad, upstream, 100 * (index + 1)),
+            ...(index < 2 ? [crashed(other, upstream, 100 * (index + 1) + 3)] : []),
         ]);
-        const fourth = ended(other, "u4", 900);
-        assert.deepEqual(withheld([...both, fourth]), [bad]);
+        const fourth = crashed(other, "u4", 900);
+        assert.deepEqual(quarantined([...both, fourth]), [bad]);
     });
 
-    test("and not a popular one that one outage took from many upstreams at once", () => {
-        const outage = Array.from({ length: 12 }, (_, index) => ended(popular, `u${index}`, 1000 + 4 * index));
-        assert.deepEqual(withheld(outage), []);
+    test("and not a frequent one that an outage of many upstreams interrupted", () => {
+        const outage = Array.from({ length: 12 }, (_, index) => crashed(popular, `u${index}`, 1000 + 4 * index));
+        assert.deepEqual(quarantined(outage), []);
     });
 
-    test("and not a popular one that an outage took from one upstream after the other, if it had been answered before", () => {
-        const outage = Array.from({ length: 12 }, (_, index) => ended(popular, `u${index}`, 1000 + 60 * index));
-        const ledger = new CrashHistory({ clock: new FakeClock() });
-        ledger.recordSuccess(popular);
-        ledger.merge(outage);
-        assert.equal(ledger.isQuarantined(popular), false);
-        // Upstreams that have begun to choke on it are another matter: it takes longer, but not for ever.
-        ledger.merge([ended(popular, "u1", 4000), ended(popular, "u2", 7000)]);
-        assert.equal(ledger.isQuarantined(popular), true);
+    test("and not a frequent one that an outage interrupted at one upstream after the other, if it had succeeded before", () => {
+        const outage = Array.from({ length: 12 }, (_, index) => crashed(popular, `u${index}`, 1000 + 60 * index));
+        const history = new CrashHistory({ clock: new FakeClock() });
+        history.recordSuccess(popular);
+        history.merge(outage);
+        assert.equal(history.isQuarantined(popular), false);
+        // If upstreams have begun to crash on it, it is quarantined after crashes that are further apart.
+        history.merge([crashed(popular, "u1", 4000), crashed(popular, "u2", 7000)]);
+        assert.equal(history.isQuarantined(popular), true);
     });
 
-    test("and not once an instance that has not seen it end remembers its answer", () => {
+    test("and not once an instance that recorded no crash has stored its success", () => {
         const clock = new FakeClock();
         const [here, there] = [new CrashHistory({ clock }), new CrashHistory({ clock })];
         there.recordSuccess(popular);
-        here.merge([ended(popular, "u1", 100), ended(popular, "u2", 200), ended(popular, "u3", 300)]);
+        here.merge([crashed(popular, "u1", 100), crashed(popular, "u2", 200), crashed(popular, "u3", 300)]);
         assert.equal(here.isQuarantined(popular), true);
         there.merge(here.recentEntries(there.quarantined, false));
         here.merge(there.recentEntries(here.quarantined, false));
@@ -85,74 +85,76 @@
         assert.equal(here.merge(there.recentEntries(here.quarantined, false)), false);
     });
 
-    test("and not one that was answered between outages, however many there are", () => {
-        const ledger = new CrashHistory({ clock: new FakeClock() });
+    test("and not one that succeeded between outages, however many there are", () => {
+        const history = new CrashHistory({ clock: new FakeClock() });
         for (let outage = 0; outage < 20; outage += 1) {
-            ledger.merge([ended(popular, `u${outage}`, 0), ended(popular, `u${outage + 30}`, 60)]);
-            ledger.recordSuccess(popular);
-            assert.equal(ledger.isQuarantined(popular), false);
+            history.merge([crashed(popular, `u${outage}`, 0), crashed(popular, `u${outage + 30}`, 60)]);
+            history.recordSuccess(popular);
+            assert.equal(history.isQuarantined(popular), false);
         }
     });
 
-    test("and no longer when a run that was still under way is answered", () => {
-        const ledger = new CrashHistory({ clock: new FakeClock() });
-        ledger.merge([ended(bad, "u1", 100), ended(bad, "u2", 200), ended(bad, "u3", 300)]);
-        assert.equal(ledger.isQuarantined(bad), true);
-        assert.equal(ledger.recordSuccess(bad), true);
-        assert.deepEqual([ledger.isQuarantined(bad), ledger.isSuspect(bad), ledger.quarantined], [false, false, []]);
+    test("and no longer when an attempt that was in flight succeeds", () => {
+        const history = new CrashHistory({ clock: new FakeClock() });
+        history.merge([crashed(bad, "u1", 100), crashed(bad, "u2", 200), crashed(bad, "u3", 300)]);
+        assert.equal(history.isQuarantined(bad), true);
+        assert.equal(history.recordSuccess(bad), true);
+        assert.deepEqual([history.isQuarantined(bad), history.isSuspect(bad), history.quarantined], [false, false, []]);
     });
 });
 
-describe("requests that differ in a trait", () => {
+describe("requests that differ in an attribute", () => {
     const upstreams = ["u1", "u2", "u3"];
     const after = (index: number): number => 100 * (index + 1);
 
-    test("are withheld by what they have in common: other callers", () => {
-        const runsOf = upstreams.map((upstream, index) => ended(keyOf("bad", `c${index}`), upstream, after(index)));
-        const ledger = new CrashHistory({ clock: new FakeClock() });
-        ledger.merge(runsOf);
-        assert.equal(ledger.isQuarantined(keyOf("bad", "c9")), true);
-        assert.equal(ledger.isQuarantined(keyOf("bad", "c9", "q", "other")), false);
-        assert.equal(ledger.isQuarantined(keyOf("bad", "c9", "other")), false);
-        assert.equal(ledger.isQuarantined(keyOf("good", "c0")), false);
+    test("are quarantined by what they have in common: different callers", () => {
+        const recordsOf = upstreams.map((upstream, index) => crashed(keyOf("bad", `c${index}`), upstream, after(index)));
+        const history = new CrashHistory({ clock: new FakeClock() });
+        history.merge(recordsOf);
+        assert.equal(history.isQuarantined(keyOf("bad", "c9")), true);
+        assert.equal(history.isQuarantined(keyOf("bad", "c9", "q", "other")), false);
+        assert.equal(history.isQuarantined(keyOf("bad", "c9", "other")), false);
+        assert.equal(history.isQuarantined(keyOf("good", "c0")), false);
     });
 
-    test("by what they have in common: other callers and queries", () => {
-        const runsOf = upstreams.map((upstream, index) => ended(keyOf("bad", `c${index}`, `q${index}`), upstream, after(index)));
-        const ledger = new CrashHistory({ clock: new FakeClock() });
-        ledger.merge(runsOf);
-        assert.equal(ledger.isQuarantined(keyOf("bad", "c9", "q9")), true);
-        assert.equal(ledger.isQuarantined(keyOf("bad", "c9", "q9", "other")), false);
+    test("are quarantined by what they have in common: different callers and queries", () => {
+        const recordsOf = upstreams.map((upstream, index) =>
+            crashed(keyOf("bad", `c${index}`, `q${index}`), upstream, after(index))
+        );
+        const history = new CrashHistory({ clock: new FakeClock() });
+        history.merge(recordsOf);
+        assert.equal(history.isQuarantined(keyOf("bad", "c9", "q9")), true);
+        assert.equal(history.isQuarantined(keyOf("bad", "c9", "q9", "other")), false);
     });
 
-    test("and nobody else is withheld for one caller's", () => {
-        const ledger = new CrashHistory({ clock: new FakeClock() });
-        ledger.merge(upstreams.map((upstream, index) => ended(bad, upstream, after(index))));
-        assert.equal(ledger.isQuarantined(bad), true);
+    test("are not quarantined because of the requests of one caller", () => {
+        const history = new CrashHistory({ clock: new FakeClock() });
+        history.merge(upstreams.map((upstream, index) => crashed(bad, upstream, after(index))));
+        assert.equal(history.isQuarantined(bad), true);
         [keyOf("bad", "c9"), keyOf("bad", "c", "q9"), keyOf("bad", "c", "q", "b9"), keyOf("x")].forEach(key =>
-            assert.equal(ledger.isQuarantined(key), false)
+            assert.equal(history.isQuarantined(key), false)
         );
     });
 
-    test("are sent on where one that has that in common was answered, before, since, or at another instance", () => {
-        const runsOf = () => upstreams.map((upstream, index) => ended(keyOf("busy", `c${index}`), upstream, after(index)));
+    test("are not quarantined if a similar one succeeded before, since, or at another instance", () => {
+        const recordsOf = () => upstreams.map((upstream, index) => crashed(keyOf("busy", `c${index}`), upstream, after(index)));
         const clock = new FakeClock();
-        const [before, since, told] = [new CrashHistory({ clock }), new CrashHistory({ clock }), new CrashHistory({ clock })];
+        const [before, since, peer] = [new CrashHistory({ clock }), new CrashHistory({ clock }), new CrashHistory({ clock })];
         before.recordSuccess(keyOf("busy", "c7"));
-        before.merge(runsOf());
+        before.merge(recordsOf());
         assert.deepEqual(before.quarantined, []);
-        since.merge(runsOf());
+        since.merge(recordsOf());
         assert.equal(since.quarantined.length, 1);
         since.recordSuccess(keyOf("busy", "c7"));
         assert.deepEqual(since.quarantined, []);
-        told.merge(before.recentEntries([], false));
-        assert.deepEqual(told.quarantined, []);
+        peer.merge(before.recentEntries([], false));
+        assert.deepEqual(peer.quarantined, []);
     });
 });
 
-describe("the ledger", () => {
-    test("comes to the same verdict by any order and any number of deliveries", () => {
-        const run = fc.record({
+describe("the crash history", () => {
+    test("detects the same quarantines for any order and number of deliveries", () => {
+        const record = fc.record({
             key: fc.constantFrom(bad, popular, other),
             upstream: fc.constantFrom("u1", "u2", "u3", "u4"),
             endedAtMs: fc.integer({ min: 0, max: 3000 }),
@@ -160,58 +162,58 @@
             hasSucceeded: fc.boolean(),
             succeededMasks: fc.integer({ min: 0, max: 255 }),
         });
-        const property = fc.property(fc.array(run, { maxLength: 14 }), fc.integer(), (drawn, seed) => {
-            const facts = drawn.map((fact, index) => ({ id: `r${index}`, endedAtUnixMs: fact.endedAtMs, ...fact }));
+        const property = fc.property(fc.array(record, { maxLength: 14 }), fc.integer(), (drawn, seed) => {
+            const records = drawn.map((record, index) => ({ id: `r${index}`, endedAtUnixMs: record.endedAtMs, ...record }));
             const deliveries = [
-                ...facts,
-                ...facts.map(fact => ({ ...fact, hasSucceeded: false, succeededMasks: 0 })),
-                ...facts.slice(0, 5),
+                ...records,
+                ...records.map(record => ({ ...record, hasSucceeded: false, succeededMasks: 0 })),
+                ...records.slice(0, 5),
             ];
             const random = new SeededRandom(seed);
-            const shuffled = deliveries.map(fact => ({ fact, at: random.next() })).sort((a, b) => a.at - b.at);
+            const shuffled = deliveries.map(record => ({ fact: record, at: random.next() })).sort((a, b) => a.at - b.at);
             const clock = new FakeClock();
             const [inOrder, mixed] = [new CrashHistory({ clock }), new CrashHistory({ clock })];
-            inOrder.merge(facts);
-            shuffled.forEach(({ fact }) => mixed.merge([fact]));
+            inOrder.merge(records);
+            shuffled.forEach(({ fact: record }) => mixed.merge([record]));
             assert.deepEqual([...mixed.quarantined].sort(), [...inOrder.quarantined].sort());
             assert.equal(mixed.size, inOrder.size);
-            assert.equal(mixed.merge(facts), false);
+            assert.equal(mixed.merge(records), false);
         });
         fc.assert(property, { seed: 32, numRuns: 300 });
     });
 
-    test("keeps what settled something within its bound, and tells little at a time", () => {
-        const ledger = new CrashHistory({ clock: new FakeClock() });
-        ledger.merge([ended(bad, "u1", 100), ended(bad, "u2", 200), ended(bad, "u3", 300)]);
-        const flood = Array.from({ length: 5000 }, (_, index) => ended(keyOf(`k${index}`), `v${index}`, 1000 + index));
-        flood.forEach(run => ledger.merge([run]));
-        assert.equal(ledger.size, 512);
-        assert.equal(ledger.isQuarantined(bad), true);
-        const told = ledger.recentEntries([], false);
-        assert.equal(told.length, 64);
-        assert.deepEqual(told.slice(0, 3).map(({ key }) => key), [bad, bad, bad]);
+    test("retains evidence within its bound, and limits the records in one message", () => {
+        const history = new CrashHistory({ clock: new FakeClock() });
+        history.merge([crashed(bad, "u1", 100), crashed(bad, "u2", 200), crashed(bad, "u3", 300)]);
+        const flood = Array.from({ length: 5000 }, (_, index) => crashed(keyOf(`k${index}`), `v${index}`, 1000 + index));
+        flood.forEach(record => history.merge([record]));
+        assert.equal(history.size, 512);
+        assert.equal(history.isQuarantined(bad), true);
+        const peer = history.recentEntries([], false);
+        assert.equal(peer.length, 64);
+        assert.deepEqual(peer.slice(0, 3).map(({ key }) => key), [bad, bad, bad]);
     });
 
-    test("tells one that withholds the same only what is new", async () => {
+    test("sends only recent changes to a peer with the same quarantines", async () => {
         const clock = new FakeClock();
-        const ledger = new CrashHistory({ clock });
-        ledger.merge([ended(bad, "u1", 0), ended(bad, "u2", 100), ended(bad, "u3", 200)]);
-        assert.equal(ledger.recentEntries(ledger.quarantined, false).length, 3);
-        assert.equal(ledger.recentEntries(ledger.quarantined, true).length, 0);
+        const history = new CrashHistory({ clock });
+        history.merge([crashed(bad, "u1", 0), crashed(bad, "u2", 100), crashed(bad, "u3", 200)]);
+        assert.equal(history.recentEntries(history.quarantined, false).length, 3);
+        assert.equal(history.recentEntries(history.quarantined, true).length, 0);
         await clock.advance(11_000);
-        assert.equal(ledger.recentEntries(ledger.quarantined, false).length, 0);
-        assert.equal(ledger.recentEntries([], true).length, 3);
+        assert.equal(history.recentEntries(history.quarantined, false).length, 0);
+        assert.equal(history.recentEntries([], true).length, 3);
     });
 
-    test("forgets suspects after ten minutes and verdicts after an hour, and takes back nothing from others", async () => {
+    test("removes suspects after ten minutes and quarantines after an hour, and does not accept expired records from peers", async () => {
         const clock = new FakeClock();
-        const ledger = new CrashHistory({ clock });
-        const three = [ended(bad, "u1", 0), ended(bad, "u2", 100), ended(bad, "u3", 200)];
-        ledger.merge([...three, ended(other, "u4", 0)]);
+        const history = new CrashHistory({ clock });
+        const three = [crashed(bad, "u1", 0), crashed(bad, "u2", 100), crashed(bad, "u3", 200)];
+        history.merge([...three, crashed(other, "u4", 0)]);
         await clock.advance(600_000);
-        assert.deepEqual([ledger.isSuspect(other), ledger.isQuarantined(bad)], [false, true]);
+        assert.deepEqual([history.isSuspect(other), history.isQuarantined(bad)], [false, true]);
         await clock.advance(3_000_300);
-        assert.deepEqual([ledger.isQuarantined(bad), ledger.size], [false, 0]);
-        assert.equal(ledger.merge(three), false);
+        assert.deepEqual([history.isQuarantined(bad), history.size], [false, 0]);
+        assert.equal(history.merge(three), false);
     });
 });
--- a/packages/decision/test/decide.test.ts
+++ b/packages/decision/test/decide.test.ts
@@ -1,3 +1,5 @@
+/** Guards against decisions that select an unusable upstream, hold a request in vain or depend on more than their input. */
+
 import { chooserNames } from "@harrierhitch/configuration";
 import { SeededRandom } from "@harrierhitch/core";
 import type { UpstreamFacts } from "@harrierhitch/policy";
@@ -16,9 +18,13 @@
 }
 
 const adaptiveCases: readonly Case[] = [
-    { name: "fewest own requests in flight", upstreams: [upstream("a", { inFlight: 2 }), upstream("b")], chosen: "b" },
     {
-        name: "not the failing one, however fast",
+        name: "the one with the fewest requests in flight from this instance",
+        upstreams: [upstream("a", { inFlight: 2 }), upstream("b")],
+        chosen: "b",
+    },
+    {
+        name: "not the failing one, even if it is fast",
         upstreams: [upstream("a", { latencyMs: 0.5, failureRate: 0.3 }), upstream("b", { inFlight: 2 })],
         chosen: "b",
     },
@@ -28,7 +34,7 @@
         chosen: "b",
     },
     {
-        name: "not the one whose request has not come back",
+        name: "not the one with an overdue request",
         upstreams: [
             upstream("a", { inFlight: 1, oldestInFlightMs: 200 }),
             upstream("b", { inFlight: 2 }),
@@ -38,7 +44,7 @@
     },
     { name: "not the cold one", upstreams: [upstream("a", { state: "cold" }), upstream("b")], chosen: "b" },
     {
-        name: "the one that reports less, of equals",
+        name: "the one that reports less load, if they are equal otherwise",
         upstreams: [upstream("a", { reportedInFlight: 6 }), upstream("b", { reportedInFlight: 1 })],
         chosen: "b",
     },
@@ -54,14 +60,14 @@
     },
     { name: "not the tried one", upstreams: [upstream("a"), upstream("b", { inFlight: 5 })], tried: ["a"], chosen: "b" },
     {
-        name: "the tried one when only it is left",
+        name: "the tried one if no other is available",
         upstreams: [upstream("a"), upstream("b", { state: "draining" })],
         tried: ["a"],
         chosen: "a",
     },
 ];
 
-describe("the adaptive chooser takes", () => {
+describe("the adaptive chooser selects", () => {
     adaptiveCases.forEach(({ name, upstreams, tried = [], chosen }) => {
         test(name, () => {
             const decision = decide(policy("adaptive"), input(upstreams, { tried }));
@@ -70,12 +76,12 @@
     });
 });
 
-test("a service whose upstreams are all at their limit holds, one whose are all gone refuses", () => {
+test("a request is held if all upstreams are at their limit, and refused if all are draining", () => {
     assert.equal(decide(policy("random"), input([upstream("a", { inFlight: 10 })])).action, "hold");
     assert.equal(decide(policy("random"), input([upstream("a", { state: "draining" })])).action, "refuse");
 });
 
-test("a clause that fails gives the stated safe result and says so", () => {
+test("a failing clause leads to the default selection and is reported in the decision", () => {
     const failing = policy("lowest-rank", {
         rank: "upstream.latencyMs / upstream.failureRate",
         refuse: "request.weight > 2.0 ? 'x' : ''",
@@ -85,7 +91,7 @@
     assert.equal(decision.action === "choose" && decision.chooser, "two-choices");
 });
 
-test("every chooser takes a candidate, and the same input gives the same choice", () => {
+test("every chooser selects a candidate, and the same input gives the same selection", () => {
     const facts = fc.record({
         state: fc.constantFrom("ready" as const, "cold" as const, "suspect" as const, "ejected" as const, "draining" as const),
         inFlight: fc.integer({ min: 0, max: 12 }),
@@ -116,12 +122,12 @@
     );
 });
 
-describe("where nothing is left to wait for, the caller hears so at once, although the policy would hold it", () => {
+describe("a request is refused at once if waiting is useless, although the policy would hold it", () => {
     const holding = policy("random", { hold: "true" });
     const cases = [
-        { name: "because the service has no upstream in service", upstreams: [] },
+        { name: "because the service has no upstream", upstreams: [] },
         {
-            name: "because all of them leave",
+            name: "because all of them are draining",
             upstreams: [upstream("a", { state: "draining" }), upstream("b", { state: "draining" })],
         },
     ];
--- a/packages/decision/test/decision-input.ts
+++ b/packages/decision/test/decision-input.ts
@@ -1,13 +1,11 @@
-/**
- * Inputs of decisions for tests.
- */
+/** Inputs of decisions for tests. */
 
 import type { ChooserName } from "@harrierhitch/configuration";
 import { Policy, type UpstreamFacts } from "@harrierhitch/policy";
 import assert from "node:assert/strict";
 import type { DecisionInput } from "../src/index.js";
 
-/** The input of a decision on a read; what differs is given. */
+/** Returns the input of a decision on a read request, with changes. */
 export const input = (upstreams: readonly UpstreamFacts[], change: Partial<DecisionInput> = {}): DecisionInput => ({
     request: {
         kind: "read",
@@ -49,7 +47,7 @@
     ...change,
 });
 
-/** A policy of the given clauses. */
+/** Returns a policy with the given clauses. */
 export const policy = (chooser: ChooserName, clauses: Record<string, string> = {}) => {
     const checked = Policy.check({ name: "p", clauses, lines: {} });
     assert.ok(checked instanceof Policy);
--- a/packages/decision/test/empty-upstream.test.ts
+++ b/packages/decision/test/empty-upstream.test.ts
@@ -1,3 +1,5 @@
+/** Guards against requests that are held although an upstream is idle. */
+
 import fc from "fast-check";
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -12,22 +14,22 @@
     },
 );
 
-test("whatever its slots and whatever answers taught, an upstream that is most likely empty is as fast as can be", () => {
+test("an upstream that is most likely idle has no contention, for any number of slots and any samples", () => {
     fc.assert(
         fc.property(
             learned,
             fc.integer({ min: 1, max: 64 }),
             fc.double({ min: 0, max: 0.49, noNaN: true }),
-            (answers, slots, inFlight) => {
-                const curve = answers.reduce(
-                    (before, { fill, factor }, atMs) => recordContention(before, fill, factor, atMs),
+            (samples, slots, inFlight) => {
+                const curve = samples.reduce(
+                    (previous, { fill: utilization, factor }, atMs) => recordContention(previous, utilization, factor, atMs),
                     initialContention,
                 );
                 [curve.pessimistic, curve.optimistic].forEach(factors => {
-                    const crowding = contentionOf(factors, inFlight, slots);
-                    assert.equal(crowding, 1);
-                    const empty = upstream("a", { expectedInFlight: inFlight, slots, bestInFlight: 1, crowding });
-                    assert.ok(minExpectedTime([empty], []) < 1.5, "it would be waited for");
+                    const contention = contentionOf(factors, inFlight, slots);
+                    assert.equal(contention, 1);
+                    const empty = upstream("a", { expectedInFlight: inFlight, slots, bestInFlight: 1, crowding: contention });
+                    assert.ok(minExpectedTime([empty], []) < 1.5, "the request would wait for another upstream");
                 });
             },
         ),
--- a/packages/decision/test/latency-baselines.test.ts
+++ b/packages/decision/test/latency-baselines.test.ts
@@ -1,49 +1,51 @@
+/** Guards against baselines that include queueing, and against baselines that are outdated. */
+
 import { FakeClock } from "@harrierhitch/core";
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { LatencyBaselines } from "../src/index.js";
 
-test("nothing is known before a few answers", () => {
-    const times = new LatencyBaselines(new FakeClock());
-    Array.from({ length: 7 }, () => times.record("read", 50));
-    assert.equal(times.baselineOf("read"), undefined);
-    times.record("read", 50);
-    assert.equal(times.baselineOf("read"), 70);
-    assert.equal(times.baselineOf("issue"), undefined);
+test("there is no baseline before a few samples", () => {
+    const baselines = new LatencyBaselines(new FakeClock());
+    Array.from({ length: 7 }, () => baselines.record("read", 50));
+    assert.equal(baselines.baselineOf("read"), undefined);
+    baselines.record("read", 50);
+    assert.equal(baselines.baselineOf("read"), 70);
+    assert.equal(baselines.baselineOf("issue"), undefined);
 });
 
-test("queueing of most answers does not pass for usual work", () => {
-    const times = new LatencyBaselines(new FakeClock());
-    Array.from({ length: 64 }, (_, index) => times.record("read", index % 8 === 0 ? 60 : 900));
-    assert.equal(times.baselineOf("read"), 84);
+test("queueing of most requests does not raise the baseline", () => {
+    const baselines = new LatencyBaselines(new FakeClock());
+    Array.from({ length: 64 }, (_, index) => baselines.record("read", index % 8 === 0 ? 60 : 900));
+    assert.equal(baselines.baselineOf("read"), 84);
 });
 
-test("what took long ago is forgotten", () => {
-    const times = new LatencyBaselines(new FakeClock());
-    Array.from({ length: 64 }, () => times.record("read", 10));
-    Array.from({ length: 64 }, () => times.record("read", 100));
-    assert.equal(times.baselineOf("read"), 140);
+test("old samples are evicted", () => {
+    const baselines = new LatencyBaselines(new FakeClock());
+    Array.from({ length: 64 }, () => baselines.record("read", 10));
+    Array.from({ length: 64 }, () => baselines.record("read", 100));
+    assert.equal(baselines.baselineOf("read"), 140);
 });
 
-test("answers of upstreams that were expected to be slow tell of usual work by what was expected", () => {
-    const times = new LatencyBaselines(new FakeClock());
-    Array.from({ length: 64 }, () => times.record("read", 300, 3));
-    assert.equal(times.baselineOf("read"), 140);
+test("samples of slow upstreams are divided by the expected time", () => {
+    const baselines = new LatencyBaselines(new FakeClock());
+    Array.from({ length: 64 }, () => baselines.record("read", 300, 3));
+    assert.equal(baselines.baselineOf("read"), 140);
 });
 
-test("an instance that refuses everything forgets the busy moment that it learned from", async () => {
+test("samples of an overload expire when an instance refuses all requests", async () => {
     const clock = new FakeClock();
-    const times = new LatencyBaselines(clock);
-    Array.from({ length: 64 }, () => times.record("read", 900, 2));
+    const baselines = new LatencyBaselines(clock);
+    Array.from({ length: 64 }, () => baselines.record("read", 900, 2));
     await clock.advance(9000);
-    assert.equal(times.baselineOf("read"), undefined);
+    assert.equal(baselines.baselineOf("read"), undefined);
 });
 
-test("answers of a busy moment do not replace what idle upstreams showed", async () => {
+test("samples of an overload do not replace those of idle upstreams", async () => {
     const clock = new FakeClock();
-    const times = new LatencyBaselines(clock);
-    Array.from({ length: 8 }, () => times.record("read", 100));
+    const baselines = new LatencyBaselines(clock);
+    Array.from({ length: 8 }, () => baselines.record("read", 100));
     await clock.advance(20_000);
-    Array.from({ length: 200 }, () => times.record("read", 900, 2));
-    assert.equal(times.baselineOf("read"), 140);
+    Array.from({ length: 200 }, () => baselines.record("read", 900, 2));
+    assert.equal(baselines.baselineOf("read"), 140);
 });
--- a/packages/decision/test/limit-admission.test.ts
+++ b/packages/decision/test/limit-admission.test.ts
@@ -1,9 +1,11 @@
+/** Guards against instances that together exceed an upstream's rate limit, and against limits that are not used or never end. */
+
 import { FakeClock, type RandomSource, SeededRandom, upstreamId } from "@harrierhitch/core";
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import { LimitAdmission, type LimitShare, UpstreamLimits } from "../src/index.js";
 
-const start = { id: upstreamId("u1"), startedAtMs: 100 };
+const incarnation = { id: upstreamId("u1"), startedAtMs: 100 };
 
 const open = (share: (wanted: number) => LimitShare, random: RandomSource = new SeededRandom(1)) => {
     const clock = new FakeClock();
@@ -12,59 +14,59 @@
     return { clock, limits, admission };
 };
 
-const sharer = (members: number) => (wanted: number): LimitShare => ({
+const participant = (members: number) => (wanted: number): LimitShare => ({
     isParticipant: true,
     participants: Math.min(wanted, members),
     members,
 });
 
-describe("an instance that shares an upstream's limit", () => {
-    test("has one turn in each period, early or late in it, and saves up none", async () => {
-        const { clock, limits, admission } = open(sharer(13), { next: () => 0 });
-        limits.record(start, 2, 0);
+describe("a participant of a rate limit", () => {
+    test("has one permit per period, usable at any time in it, and accumulates none", async () => {
+        const { clock, limits, admission } = open(participant(13), { next: () => 0 });
+        limits.record(incarnation, 2, 0);
         const waits = async (forMs: number): Promise<number | undefined> => {
             await clock.advance(forMs);
-            return admission.paceOf(start)?.waitMs;
+            return admission.paceOf(incarnation)?.waitMs;
         };
         assert.equal(await waits(0), 0);
         assert.equal(await waits(9900), 0);
-        admission.recordSent(start);
+        admission.recordSent(incarnation);
         assert.equal(Math.round(await waits(0) ?? 0), 100);
         assert.equal(await waits(101), 0);
-        admission.recordSent(start);
+        admission.recordSent(incarnation);
         assert.equal(Math.round(await waits(0) ?? 0), 2499);
     });
 
-    test("saves up turns for a moment where few share a large limit", async () => {
-        const { clock, limits, admission } = open(sharer(3), { next: () => 0 });
-        limits.record(start, 60, 0);
-        assert.ok((admission.paceOf(start)?.waitMs ?? 0) > 0);
+    test("accumulates permits for a short time if few participants share a large limit", async () => {
+        const { clock, limits, admission } = open(participant(3), { next: () => 0 });
+        limits.record(incarnation, 60, 0);
+        assert.ok((admission.paceOf(incarnation)?.waitMs ?? 0) > 0);
         await clock.advance(10_000);
         let sent = 0;
-        for (; admission.paceOf(start)?.waitMs === 0; sent += 1) {
-            admission.recordSent(start);
+        for (; admission.paceOf(incarnation)?.waitMs === 0; sent += 1) {
+            admission.recordSent(incarnation);
         }
         assert.equal(sent, 10);
     });
 
-    test("gains no turn by limits that change all the time", async () => {
-        const { clock, limits, admission } = open(sharer(13), { next: () => 0 });
+    test("gains no permit from a limit that changes all the time", async () => {
+        const { clock, limits, admission } = open(participant(13), { next: () => 0 });
         let sent = 0;
         for (let passedMs = 0; passedMs < 20_000; passedMs += 20) {
             await clock.advance(20);
-            limits.record(start, 2 + passedMs / 20 % 5 * 0.01, clock.nowMs());
-            if (admission.paceOf(start)?.waitMs === 0) {
-                admission.recordSent(start);
+            limits.record(incarnation, 2 + passedMs / 20 % 5 * 0.01, clock.nowMs());
+            if (admission.paceOf(incarnation)?.waitMs === 0) {
+                admission.recordSent(incarnation);
                 sent += 1;
             }
         }
         assert.ok(sent <= 9, `${sent} requests`);
     });
 
-    test("tells how long it has to wait, and how fast it may send", () => {
-        const { limits, admission } = open(sharer(13), { next: () => 0.25 });
-        limits.record(start, 3.6, 0);
-        const pace = admission.paceOf(start);
+    test("reports how long it has to wait, and how fast it may send", () => {
+        const { limits, admission } = open(participant(13), { next: () => 0.25 });
+        limits.record(incarnation, 3.6, 0);
+        const pace = admission.paceOf(incarnation);
         assert.deepEqual([pace?.perSecond, pace?.participants, Math.round(pace?.gapMs ?? 0), Math.round(pace?.waitMs ?? 0)], [
             3.6,
             8,
@@ -73,55 +75,55 @@
         ]);
     });
 
-    test("is bound by nothing once the limit is gone", async () => {
-        const { clock, limits, admission } = open(sharer(13));
-        limits.record(start, 0, 0);
-        assert.ok((admission.paceOf(start)?.waitMs ?? 0) > 0);
+    test("has no limit once the upstream announces none", async () => {
+        const { clock, limits, admission } = open(participant(13));
+        limits.record(incarnation, 0, 0);
+        assert.ok((admission.paceOf(incarnation)?.waitMs ?? 0) > 0);
         await clock.advance(1);
-        limits.record(start, undefined, clock.nowMs());
-        assert.equal(admission.paceOf(start), undefined);
-        assert.equal(admission.recordSent(start), false);
+        limits.record(incarnation, undefined, clock.nowMs());
+        assert.equal(admission.paceOf(incarnation), undefined);
+        assert.equal(admission.recordSent(incarnation), false);
     });
 });
 
-test("an instance that does not share one tries rarely, after it has heard nothing for half a minute", async () => {
+test("a non-participant sends few probing requests, after half a minute without a notice", async () => {
     const { clock, limits, admission } = open(wanted => ({ isParticipant: false, participants: wanted, members: 13 }));
-    limits.record(start, 4, 0);
+    limits.record(incarnation, 4, 0);
     await clock.advance(29_999);
-    assert.ok((admission.paceOf(start)?.waitMs ?? 0) > 0);
+    assert.ok((admission.paceOf(incarnation)?.waitMs ?? 0) > 0);
     limits.merge([{
-        upstream: start.id,
+        upstream: incarnation.id,
         startedAtMs: 100,
         notice: { perSecond: 4, sinceUnixMs: 0, saidAtUnixMs: 1e9, heardBy: "b" },
     }]);
     await clock.advance(29_999);
-    assert.ok((admission.paceOf(start)?.waitMs ?? 0) > 0);
+    assert.ok((admission.paceOf(incarnation)?.waitMs ?? 0) > 0);
     await clock.advance(40_000);
-    assert.equal(admission.paceOf(start)?.waitMs, 0);
-    admission.recordSent(start);
-    assert.ok((admission.paceOf(start)?.waitMs ?? 0) > 30_000);
+    assert.equal(admission.paceOf(incarnation)?.waitMs, 0);
+    admission.recordSent(incarnation);
+    assert.ok((admission.paceOf(incarnation)?.waitMs ?? 0) > 30_000);
 });
 
-describe("whatever the limit and the fleet, all sharers together stay below one and a half times the limit and five requests in four seconds", () => {
+describe("for any limit and fleet, all participants together stay below one and a half times the limit plus five requests in four seconds", () => {
     [0, 0.04, 0.3, 1, 3.6, 20, 150, 900].forEach(perSecond =>
         [3, 13, 95, 300].forEach(members => {
             test(`${perSecond} a second, ${members} instances, after any pause`, async () => {
                 const random = new SeededRandom(members);
                 const clock = new FakeClock();
                 const limits = new UpstreamLimits({ clock, instance: "a" });
-                limits.record(start, perSecond, 0);
+                limits.record(incarnation, perSecond, 0);
                 const most = Math.max(2, Math.floor(2 * Math.max(0.1, perSecond)) + 1);
                 const admissions = Array.from({ length: Math.min(most, members) }, () =>
-                    new LimitAdmission({ clock, random, limits, shareOf: (_, wanted) => sharer(members)(wanted) }));
+                    new LimitAdmission({ clock, random, limits, shareOf: (_, wanted) => participant(members)(wanted) }));
                 admissions.forEach(admission =>
-                    admission.paceOf(start)
+                    admission.paceOf(incarnation)
                 );
                 await clock.advance(100_000);
                 let sent = 0;
                 for (let passedMs = 0; passedMs < 4000; passedMs += 50) {
                     admissions.forEach(admission => {
-                        while (admission.paceOf(start)?.waitMs === 0) {
-                            admission.recordSent(start);
+                        while (admission.paceOf(incarnation)?.waitMs === 0) {
+                            admission.recordSent(incarnation);
                             sent += 1;
                         }
                     });
--- a/packages/decision/test/sample-candidates.test.ts
+++ b/packages/decision/test/sample-candidates.test.ts
@@ -1,3 +1,5 @@
+/** Guards against decisions that take too long with many upstreams, and against upstreams that are never selected. */
+
 import { FakeClock, SeededRandom, upstreamId } from "@harrierhitch/core";
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
@@ -17,13 +19,13 @@
     return () => random.next();
 };
 
-describe("the upstreams that a decision looks at", () => {
-    test("are all where they are few", () => {
-        const few = Array.from({ length: maximumCandidates }, (_, index) => candidate(index, Infinity));
-        assert.deepEqual(sampleCandidates(few, draws()), few.map(({ id }) => id));
+describe("the upstreams that a decision evaluates", () => {
+    test("are all if there are few", () => {
+        const candidates = Array.from({ length: maximumCandidates }, (_, index) => candidate(index, Infinity));
+        assert.deepEqual(sampleCandidates(candidates, draws()), candidates.map(({ id }) => id));
     });
 
-    test("are known ones, near ones and others in equal parts, each once", () => {
+    test("are recently reported ones, and ones of the same and of other availability zones, each once", () => {
         const many = Array.from({ length: 156 }, (_, index) => candidate(index, index < 40 ? 100 : Infinity));
         const ids = sampleCandidates(many, draws());
         assert.equal(new Set(ids).size, maximumCandidates);
@@ -32,7 +34,7 @@
         assert.equal(picked.filter(({ reportAgeMs, sameZone }) => reportAgeMs > 100 && sameZone).length, maximumCandidates / 4);
     });
 
-    test("are drawn anew each time, so that each upstream gets its turn", () => {
+    test("are sampled for each decision, so that each upstream is included at some time", () => {
         const many = Array.from({ length: 156 }, (_, index) => candidate(index, Infinity));
         const draw = draws();
         const seen = new Set(Array.from({ length: 100 }, () => sampleCandidates(many, draw)).flat());
@@ -40,10 +42,10 @@
     });
 });
 
-describe("of hundreds of upstreams a decision looks at", () => {
+describe("of many upstreams a decision evaluates", () => {
     const start = () => {
         const clock = new FakeClock();
-        const beliefs = new UpstreamTracker({ clock, availabilityZone: "zone-0" });
+        const tracker = new UpstreamTracker({ clock, availabilityZone: "zone-0" });
         const upstreams = Array.from({ length: 100 }, (_, index) => ({
             id: upstreamId(`u${index}`),
             address: "127.0.0.1",
@@ -51,23 +53,23 @@
             availabilityZone: `zone-${index % zones}`,
             slots: 3,
         }));
-        beliefs.configure({ maximumConnections: 1000, coldRequestsPerSecond: 0, upstreams }, 10);
-        return { beliefs, ids: upstreams.map(({ id }) => id) };
+        tracker.configure({ maximumConnections: 1000, coldRequestsPerSecond: 0, upstreams }, 10);
+        return { beliefs: tracker, ids: upstreams.map(({ id }) => id) };
     };
 
-    test("those that may be chosen and were not tried", () => {
-        const { beliefs, ids } = start();
-        const leaving = ids.slice(0, 60);
+    test("eligible ones that were not tried", () => {
+        const { beliefs: tracker, ids } = start();
+        const draining = ids.slice(0, 60);
         const tried = ids.slice(60, 70);
-        leaving.forEach(id => beliefs.observe(id, { type: "draining", atMs: 1 }));
-        const considered = beliefs.selectCandidates(tried, draws());
-        assert.equal(considered.length, maximumCandidates);
-        assert.ok(considered.every(id => !leaving.includes(id) && !tried.includes(id)));
+        draining.forEach(id => tracker.observe(id, { type: "draining", atMs: 1 }));
+        const selected = tracker.selectCandidates(tried, draws());
+        assert.equal(selected.length, maximumCandidates);
+        assert.ok(selected.every(id => !draining.includes(id) && !tried.includes(id)));
     });
 
-    test("all where hardly any may be chosen, so that a refusal tells why", () => {
-        const { beliefs, ids } = start();
-        ids.slice(0, 95).forEach(id => beliefs.observe(id, { type: "draining", atMs: 1 }));
-        assert.deepEqual(beliefs.selectCandidates([], draws()), ids);
+    test("all if hardly any are eligible, so that a refusal gives the reasons", () => {
+        const { beliefs: tracker, ids } = start();
+        ids.slice(0, 95).forEach(id => tracker.observe(id, { type: "draining", atMs: 1 }));
+        assert.deepEqual(tracker.selectCandidates([], draws()), ids);
     });
 });
--- a/packages/decision/test/service-load-model.test.ts
+++ b/packages/decision/test/service-load-model.test.ts
@@ -1,3 +1,5 @@
+/** Guards against predictions that treat busy upstreams as idle, or slow upstreams as normal. */
+
 import { SeededRandom } from "@harrierhitch/core";
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
@@ -15,7 +17,7 @@
 
 const report = (change: Partial<ReportedLoad>): ReportedLoad => ({ atMs: 0, inFlight: 1, slowdown: 1, slots, ...change });
 
-const known = (change: Partial<LoadSample>): LoadSample => ({
+const loadSample = (change: Partial<LoadSample>): LoadSample => ({
     inFlight: 0,
     reportedInFlight: 0,
     reportAgeMs: 1,
@@ -25,110 +27,122 @@
     ...change,
 });
 
-const expectedCrowding = (dynamics: ServiceLoadModel, inFlight: number): number =>
-    predictLoad(known({ reportedInFlight: inFlight }), dynamics).crowding;
+const expectedContention = (model: ServiceLoadModel, inFlight: number): number =>
+    predictLoad(loadSample({ reportedInFlight: inFlight }), model).crowding;
 
-const answers = (
+const afterResponses = (
     count: number,
-    answer: { readonly latencyMs: number; readonly utilization: number; },
+    response: { readonly latencyMs: number; readonly utilization: number; },
     from: ServiceLoadModel = initialLoadModel,
 ) => Array.from({ length: count }).reduce<ServiceLoadModel>(
-    dynamics => updateFromResponse(dynamics, { atMs: 0, baselineMs: 500, expectedSlowdown: 1, reportAgeMs: 2, ...answer }),
+    model => updateFromResponse(model, { atMs: 0, baselineMs: 500, expectedSlowdown: 1, reportAgeMs: 2, ...response }),
     from,
 );
 
-describe("the load of an upstream", () => {
-    test("an upstream that was full a moment ago is full while its work takes longer than that", () => {
-        const dynamics = answers(20, { latencyMs: 600, utilization: 0.5 });
-        assert.ok(predictLoad(known({ reportedInFlight: 9, reportAgeMs: 130 }), dynamics).expectedInFlight > slots);
+describe("the predicted load of an upstream", () => {
+    test("stays high after a report while requests take longer than the age of the report", () => {
+        const model = afterResponses(20, { latencyMs: 600, utilization: 0.5 });
+        assert.ok(predictLoad(loadSample({ reportedInFlight: 9, reportAgeMs: 130 }), model).expectedInFlight > slots);
     });
 
-    test("it is forgotten as soon as its work is short", () => {
-        const dynamics = answers(20, { latencyMs: 10, utilization: 0.5 });
-        assert.ok(predictLoad(known({ reportedInFlight: 9, reportAgeMs: 130 }), dynamics).expectedInFlight < 1);
+    test("decays quickly if requests are short", () => {
+        const model = afterResponses(20, { latencyMs: 10, utilization: 0.5 });
+        assert.ok(predictLoad(loadSample({ reportedInFlight: 9, reportAgeMs: 130 }), model).expectedInFlight < 1);
     });
 
-    test("one of which nothing is known is as busy as the others of its service", () => {
+    test("is the average of its service without a report", () => {
         const reports = Array.from({ length: 200 }, (_, index) => report({ atMs: index, inFlight: 9 }));
-        const dynamics = reports.reduce<ServiceLoadModel>(
-            (before, reading) => updateFromReport(before, reading, undefined),
+        const model = reports.reduce<ServiceLoadModel>(
+            (previous, sample) => updateFromReport(previous, sample, undefined),
             initialLoadModel,
         );
-        assert.ok(predictLoad(known({ reportedInFlight: -1, reportAgeMs: -1 }), dynamics).expectedInFlight > 8.9);
+        assert.ok(predictLoad(loadSample({ reportedInFlight: -1, reportAgeMs: -1 }), model).expectedInFlight > 8.9);
     });
 
-    test("what this instance itself has in flight counts, however old the report", () => {
-        assert.equal(predictLoad(known({ inFlight: 5, reportAgeMs: 60_000 }), initialLoadModel).expectedInFlight, 5);
+    test("includes the requests in flight of this instance, however old the report", () => {
+        assert.equal(predictLoad(loadSample({ inFlight: 5, reportAgeMs: 60_000 }), initialLoadModel).expectedInFlight, 5);
     });
 });
 
-describe("how long a slowness lasts", () => {
-    /** Reports every 20 ms of ten upstreams, whose slowness is drawn anew at fixed times. */
-    const keptMs = (drawnEveryMs: number): number => {
+describe("the decay time of a slowdown", () => {
+    /** Returns the decay time after reports of ten upstreams every 20 ms, whose slowdown changes at random at a fixed interval. */
+    const decayMs = (drawnEveryMs: number): number => {
         const random = new SeededRandom(7);
         const last: (ReportedLoad | undefined)[] = Array.from({ length: 10 }, () => undefined);
-        let dynamics = initialLoadModel;
+        let model = initialLoadModel;
         for (let atMs = 0; atMs < 20_000; atMs += 20) {
-            last.forEach((before, upstream) => {
-                const isDrawn = before === undefined || (atMs + 20 * upstream) % drawnEveryMs === 0;
-                const reading = report({ atMs, slowdown: isDrawn ? random.next() < 0.3 ? 5 : 1 : before.slowdown });
-                dynamics = updateFromReport(dynamics, reading, before);
-                last[upstream] = reading;
+            last.forEach((previous, upstream) => {
+                const isDrawn = previous === undefined || (atMs + 20 * upstream) % drawnEveryMs === 0;
+                const sample = report({ atMs, slowdown: isDrawn ? random.next() < 0.3 ? 5 : 1 : previous.slowdown });
+                model = updateFromReport(model, sample, previous);
+                last[upstream] = sample;
             });
         }
-        return slowdownDecayMs(dynamics);
+        return slowdownDecayMs(model);
     };
 
-    test("is learned where it changes often, and where it changes rarely", () => {
-        assert.ok(keptMs(60) > 30 && keptMs(60) < 90, `${keptMs(60)}`);
-        assert.ok(keptMs(1000) > 500 && keptMs(1000) < 2000, `${keptMs(1000)}`);
+    test("is learned for frequent and for rare changes", () => {
+        assert.ok(decayMs(60) > 30 && decayMs(60) < 90, `${decayMs(60)}`);
+        assert.ok(decayMs(1000) > 500 && decayMs(1000) < 2000, `${decayMs(1000)}`);
     });
 });
 
-describe("the usual slowness", () => {
-    const after = (slownesses: readonly number[]): ServiceLoadModel =>
-        slownesses.reduce(
-            (before, slowness, atMs) => updateFromReport(before, report({ atMs, slowdown: slowness }), undefined),
+describe("the baseline slowdown", () => {
+    const afterReports = (slowdowns: readonly number[]): ServiceLoadModel =>
+        slowdowns.reduce(
+            (previous, slowdown, atMs) => updateFromReport(previous, report({ atMs, slowdown }), undefined),
             initialLoadModel,
         );
 
-    test("follows a service whose upstreams have all become slow: none of them is slow any longer against the others", () => {
-        const dynamics = after(Array.from({ length: 400 }, () => 5));
-        assert.ok(Math.abs(predictLoad(known({ slowness: 5 }), dynamics).expectedSlowness - 1) < 0.1);
+    test("follows a service whose upstreams have all become slow", () => {
+        const model = afterReports(Array.from({ length: 400 }, () => 5));
+        assert.ok(Math.abs(predictLoad(loadSample({ slowness: 5 }), model).expectedSlowness - 1) < 0.1);
     });
 
-    test("stays that of the fast ones while some are slow", () => {
-        const dynamics = after(Array.from({ length: 400 }, (_, index) => index % 3 === 0 ? 5 : 1));
-        assert.ok(predictLoad(known({ slowness: 5 }), dynamics).expectedSlowness > 4.5);
-        assert.ok(Math.abs(predictLoad(known({ slowness: 1 }), dynamics).expectedSlowness - 1) < 0.1);
+    test("stays that of the fast upstreams while some are slow", () => {
+        const model = afterReports(Array.from({ length: 400 }, (_, index) => index % 3 === 0 ? 5 : 1));
+        assert.ok(predictLoad(loadSample({ slowness: 5 }), model).expectedSlowness > 4.5);
+        assert.ok(Math.abs(predictLoad(loadSample({ slowness: 1 }), model).expectedSlowness - 1) < 0.1);
     });
 });
 
-describe("crowding", () => {
-    test("upstreams that do not slow down when they are full are learned to be so", () => {
-        const dynamics = answers(60, { latencyMs: 500, utilization: 1 }, answers(20, { latencyMs: 500, utilization: 0.5 }));
-        assert.ok(expectedCrowding(initialLoadModel, 5) > 1.6);
-        assert.ok(expectedCrowding(dynamics, 5) < 1.15);
+describe("contention", () => {
+    test("is learned of upstreams that do not slow down when they are full", () => {
+        const model = afterResponses(
+            60,
+            { latencyMs: 500, utilization: 1 },
+            afterResponses(20, { latencyMs: 500, utilization: 0.5 }),
+        );
+        assert.ok(expectedContention(initialLoadModel, 5) > 1.6);
+        assert.ok(expectedContention(model, 5) < 1.15);
     });
 
-    test("those that slow down from half of their slots on too", () => {
-        const dynamics = answers(60, { latencyMs: 1000, utilization: 0.7 }, answers(60, { latencyMs: 500, utilization: 0.25 }));
-        assert.ok(expectedCrowding(dynamics, 3) > 1.8);
-        assert.ok(expectedCrowding(dynamics, 0) < 1.05);
+    test("is learned of upstreams that slow down from half of their slots", () => {
+        const model = afterResponses(
+            60,
+            { latencyMs: 1000, utilization: 0.7 },
+            afterResponses(60, { latencyMs: 500, utilization: 0.25 }),
+        );
+        assert.ok(expectedContention(model, 3) > 1.8);
+        assert.ok(expectedContention(model, 0) < 1.05);
     });
 
-    test("an idle upstream of a single slot is not crowded, whatever its one request fills", () => {
-        assert.equal(predictLoad(known({ slots: 1 }), initialLoadModel).crowding, 1);
-        assert.equal(predictLoad(known({ slots: 1 }), answers(30, { latencyMs: 900, utilization: 1 })).crowding, 1);
+    test("is none at an idle upstream with a single slot", () => {
+        assert.equal(predictLoad(loadSample({ slots: 1 }), initialLoadModel).crowding, 1);
+        assert.equal(predictLoad(loadSample({ slots: 1 }), afterResponses(30, { latencyMs: 900, utilization: 1 })).crowding, 1);
     });
 
-    test("one fuller step is never better than an emptier one, by the scatter of few answers", () => {
-        const dynamics = answers(60, { latencyMs: 400, utilization: 1 }, answers(60, { latencyMs: 900, utilization: 0.5 }));
-        assert.ok(expectedCrowding(dynamics, 5) >= expectedCrowding(dynamics, 2));
+    test("never decreases with utilization because of noise in few samples", () => {
+        const model = afterResponses(
+            60,
+            { latencyMs: 400, utilization: 1 },
+            afterResponses(60, { latencyMs: 900, utilization: 0.5 }),
+        );
+        assert.ok(expectedContention(model, 5) >= expectedContention(model, 2));
     });
 
-    test("an answer to a choice by an old report teaches nothing", () => {
-        const dynamics = updateFromResponse(initialLoadModel, {
+    test("ignores responses that were predicted from an old report", () => {
+        const model = updateFromResponse(initialLoadModel, {
             atMs: 0,
             latencyMs: 5000,
             baselineMs: 500,
@@ -136,6 +150,6 @@
             utilization: 0.5,
             reportAgeMs: 400,
         });
-        assert.deepEqual(dynamics.contention, initialLoadModel.contention);
+        assert.deepEqual(model.contention, initialLoadModel.contention);
     });
 });
--- a/packages/decision/test/upstream-backoff.test.ts
+++ b/packages/decision/test/upstream-backoff.test.ts
@@ -1,23 +1,36 @@
+/**
+ * Guards against requests to upstreams that asked for a backoff or whose rate limit is used up, and against callers that
+ * wait in vain.
+ */
+
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import { decide, earliestAvailableMs } from "../src/index.js";
 import { input, policy } from "./decision-input.js";
 import { upstream } from "./upstream.js";
 
-describe("the wait for all upstreams that rest is", () => {
+describe("the time until the first upstream is available is", () => {
     const resting = (restMs: number) => upstream("a", { restMs });
     const limited = (shareInMs: number) => upstream("b", { takesPerSecond: 1, shareInMs, shareGapMs: 2000 });
     const cases = [
         { name: "none without upstreams", upstreams: [], restMs: undefined },
-        { name: "none where one takes requests", upstreams: [resting(500), upstream("b")], restMs: undefined },
-        { name: "none where all leave", upstreams: [upstream("a", { state: "draining", restMs: 500 })], restMs: undefined },
-        { name: "none where all are ejected", upstreams: [upstream("a", { state: "ejected" })], restMs: undefined },
+        { name: "none if one accepts requests", upstreams: [resting(500), upstream("b")], restMs: undefined },
+        { name: "none if all are draining", upstreams: [upstream("a", { state: "draining", restMs: 500 })], restMs: undefined },
+        { name: "none if all are ejected", upstreams: [upstream("a", { state: "ejected" })], restMs: undefined },
         { name: "the shortest", upstreams: [resting(500), resting(300), resting(900)], restMs: 300 },
-        { name: "that for a share of a limit, where that is sooner", upstreams: [resting(500), limited(200)], restMs: 200 },
-        { name: "the later of both", upstreams: [upstream("a", { restMs: 300, shareInMs: 700 })], restMs: 700 },
-        { name: "that of those that stay", upstreams: [resting(500), upstream("b", { state: "draining" })], restMs: 500 },
+        { name: "that for a permit, if it is shorter", upstreams: [resting(500), limited(200)], restMs: 200 },
+        {
+            name: "the longer of backoff and permit wait of one upstream",
+            upstreams: [upstream("a", { restMs: 300, shareInMs: 700 })],
+            restMs: 700,
+        },
+        {
+            name: "that of the upstreams that are not draining",
+            upstreams: [resting(500), upstream("b", { state: "draining" })],
+            restMs: 500,
+        },
         {
-            name: "cut where an ejected one may be back sooner",
+            name: "bounded if one is ejected",
             upstreams: [resting(60_000), upstream("b", { state: "ejected" })],
             restMs: 1000,
         },
@@ -27,25 +40,25 @@
     });
 });
 
-describe("while all upstreams rest a request", () => {
+describe("while all upstreams back off a request", () => {
     const decideBy = (restMs: number, holdLeftMs: number, draw = 0) => {
         const upstreams = [upstream("a", { restMs }), upstream("b", { restMs: restMs + 100 })];
         const given = input(upstreams, { draws: [draw, 0, 0, 0] });
         return decide(policy("expected-time"), { ...given, request: { ...given.request, holdLeftMs } });
     };
 
-    test("waits where the rest ends within the time for which it may", () => {
+    test("is held if the backoff ends within its hold time", () => {
         const decision = decideBy(100, 100);
         assert.deepEqual([decision.action, "cause" in decision && decision.cause], ["hold", "resting"]);
         assert.deepEqual(decision.exclusions, ["resting", "resting"]);
     });
 
-    test("is refused at once where it does not", () => {
+    test("is refused at once if it does not", () => {
         const decision = decideBy(101, 100);
         assert.deepEqual([decision.action, "cause" in decision && decision.cause], ["refuse", "no-upstream"]);
     });
 
-    test("is told to come back after it, and at a moment of its own", () => {
+    test("is refused with a jittered retry time after the backoff", () => {
         const waits = [0, 0.5, 0.999].map(draw => {
             const decision = decideBy(3000, 0, draw);
             return decision.action === "refuse" ? decision.retryAfterMs : NaN;
@@ -54,13 +67,13 @@
     });
 });
 
-test("an upstream that rests is left out, and others are chosen", () => {
+test("an upstream that backs off is excluded, and others are selected", () => {
     const decision = decide(policy("expected-time"), input([upstream("a", { restMs: 1 }), upstream("b")]));
     assert.equal(decision.action === "choose" && decision.upstream, "b");
     assert.deepEqual(decision.exclusions, ["resting", undefined]);
 });
 
-describe("while all upstreams name limits that leave nothing now a request", () => {
+describe("while the rate limits of all upstreams permit nothing a request", () => {
     const decideBy = (shareInMs: number, request: { readonly holdLeftMs: number; readonly ahead?: number; }, draw = 0.5) => {
         const limited = (id: string) => upstream(id, { takesPerSecond: 5, shareInMs, shareGapMs: 400 });
         const given = input([limited("a"), limited("b")], { draws: [draw, 0, 0, 0] });
@@ -72,18 +85,18 @@
         });
     };
 
-    test("waits where its share comes in time", () => {
+    test("is held if its permit comes in time", () => {
         const decision = decideBy(80, { holdLeftMs: 100 });
         assert.deepEqual([decision.action, "cause" in decision && decision.cause], ["hold", "limited"]);
         assert.deepEqual(decision.exclusions, ["limited", "limited"]);
     });
 
-    test("is refused at once where those ahead take what comes in time", () => {
+    test("is refused at once if the requests ahead need the permits that come in time", () => {
         assert.equal(decideBy(80, { holdLeftMs: 300, ahead: 1 }).action, "hold");
         assert.equal(decideBy(80, { holdLeftMs: 300, ahead: 2 }).action, "refuse");
     });
 
-    test("is told when there is room for it, about", () => {
+    test("is refused with a jittered retry time", () => {
         const waits = [0, 0.5, 0.999].map(draw => {
             const decision = decideBy(80, { holdLeftMs: 0 }, draw);
             return decision.action === "refuse" ? Math.floor(decision.retryAfterMs) : NaN;
@@ -92,7 +105,7 @@
     });
 });
 
-test("an upstream that names a limit is left out until this instance has a share, and others are chosen", () => {
+test("an upstream with a rate limit is excluded until this instance has a permit, and others are selected", () => {
     const limited = upstream("a", { takesPerSecond: 1, shareInMs: 10, shareGapMs: 2000 });
     const decision = decide(policy("expected-time"), input([limited, upstream("b")]));
     assert.deepEqual(decision.exclusions, ["limited", undefined]);
--- a/packages/decision/test/upstream-tracker.test.ts
+++ b/packages/decision/test/upstream-tracker.test.ts
@@ -1,3 +1,5 @@
+/** Guards against upstreams that are ejected, limited or returned to service at the wrong time. */
+
 import { checkConfiguration, type Service } from "@harrierhitch/configuration";
 import { FakeClock, serviceName, type UpstreamId, upstreamId } from "@harrierhitch/core";
 import type { UpstreamFacts } from "@harrierhitch/policy";
@@ -23,17 +25,17 @@
 
 const start = () => {
     const clock = new FakeClock();
-    const beliefs = new UpstreamTracker({ clock, availabilityZone: "a" });
-    beliefs.configure(service(), 18);
+    const tracker = new UpstreamTracker({ clock, availabilityZone: "a" });
+    tracker.configure(service(), 18);
     const observe = (id: string, type: Observation["type"], times = 1): void => {
-        Array.from({ length: times }, () => beliefs.observe(upstreamId(id), toObservation(type, clock.nowMs())));
+        Array.from({ length: times }, () => tracker.observe(upstreamId(id), toObservation(type, clock.nowMs())));
     };
     const facts = (id: string): UpstreamFacts => {
-        const found = beliefs.facts().find(each => each.id === id);
+        const found = tracker.facts().find(each => each.id === id);
         assert.ok(found);
         return found;
     };
-    return { clock, beliefs, observe, facts };
+    return { clock, beliefs: tracker, observe, facts };
 };
 
 const toObservation = (type: Observation["type"], atMs: number): Observation => {
@@ -73,44 +75,44 @@
         states: { u0: "ready" },
     },
     {
-        name: "no more than a third is ejected",
+        name: "at most a third of the upstreams is ejected",
         steps: [{ observe: ["u0", "failed", 3] }, { observe: ["u1", "failed", 3] }, { observe: ["u2", "failed", 3] }],
         states: { u0: "ejected", u1: "ejected", u2: "suspect" },
     },
     {
-        name: "an ejection ends on trial",
+        name: "an ejection ends in the state suspect",
         steps: [{ observe: ["u0", "failed", 3] }, { afterMs: 1100 }],
         states: { u0: "suspect" },
     },
     {
-        name: "a failure on trial ejects for longer",
+        name: "a failure in the state suspect ejects for longer",
         steps: [{ observe: ["u0", "failed", 3] }, { afterMs: 1100 }, { observe: ["u0", "failed"] }, { afterMs: 1100 }],
         states: { u0: "ejected" },
     },
     {
-        name: "answers on trial bring it back",
+        name: "responses in the state suspect make it ready",
         steps: [{ observe: ["u0", "failed", 3] }, { afterMs: 1100 }, { observe: ["u0", "answered", 3] }],
         states: { u0: "ready" },
     },
-    { name: "shedding is no failure", steps: [{ observe: ["u0", "shed", 20] }], states: { u0: "ready" } },
+    { name: "shedding is not a failure", steps: [{ observe: ["u0", "shed", 20] }], states: { u0: "ready" } },
     {
-        name: "a drain lasts, whatever is answered",
+        name: "a draining upstream stays draining, whatever it responds",
         steps: [{ observe: ["u0", "draining"] }, { observe: ["u0", "answered", 9] }, { afterMs: 60_000 }],
         states: { u0: "draining" },
     },
     {
-        name: "coming back is a new start",
+        name: "an upstream that returns is cold",
         steps: [{ observe: ["u0", "draining"] }, { afterMs: 10 }, { observe: ["u0", "returned"] }],
         states: { u0: "cold" },
     },
     {
-        name: "a new start is ready in the end",
+        name: "a cold upstream becomes ready",
         steps: [{ observe: ["u0", "returned"] }, { afterMs: 3100 }],
         states: { u0: "ready" },
     },
 ];
 
-describe("in an instance's beliefs", () => {
+describe("the upstream tracker", () => {
     cases.forEach(({ name, steps, states }) => {
         test(name, async () => {
             const { clock, observe, facts } = start();
@@ -125,15 +127,15 @@
         });
     });
 
-    test("news of a drain from before the new start is void", async () => {
-        const { clock, beliefs, observe, facts } = start();
+    test("a draining notice from before the upstream returned is ignored", async () => {
+        const { clock, beliefs: tracker, observe, facts } = start();
         await clock.advance(1000);
         observe("u0", "returned");
-        beliefs.observe(upstreamId("u0"), { type: "draining", atMs: 500 });
+        tracker.observe(upstreamId("u0"), { type: "draining", atMs: 500 });
         assert.equal(facts("u0").state, "cold");
     });
 
-    test("shedding lowers the limit and answers raise it, within the share of connections", () => {
+    test("shedding lowers the limit and responses raise it, up to this instance's share of connections", () => {
         const { observe, facts } = start();
         const full = facts("u0").limit;
         assert.equal(full, Math.floor(200 / 18));
@@ -143,25 +145,25 @@
         assert.ok(lowered < full && facts("u0").limit === full);
     });
 
-    test("ages grow while nothing is heard, also over a pause", () => {
+    test("ages grow without observations, also over a pause", () => {
         const { clock, observe, facts } = start();
         observe("u0", "answered");
         clock.pause(20_000);
         assert.deepEqual([facts("u0").latencyAgeMs, facts("u0").reportAgeMs], [20_000, 20_000]);
     });
 
-    test("requests in flight are counted for each upstream, and the oldest is known", async () => {
-        const { clock, beliefs, facts } = start();
-        const flight = beliefs.startRequest("u1" as UpstreamId);
+    test("requests in flight are counted for each upstream, with the age of the oldest", async () => {
+        const { clock, beliefs: tracker, facts } = start();
+        const request = tracker.startRequest("u1" as UpstreamId);
         await clock.advance(30);
-        beliefs.startRequest("u1" as UpstreamId);
+        tracker.startRequest("u1" as UpstreamId);
         assert.deepEqual([facts("u1").inFlight, facts("u1").oldestInFlightMs], [2, 30]);
-        beliefs.finishRequest(flight);
+        tracker.finishRequest(request);
         assert.deepEqual([facts("u1").inFlight, facts("u1").oldestInFlightMs], [1, 0]);
     });
 });
 
-test("retries are earned by requests, not by time, and bounded", () => {
+test("the retry budget grows with requests, not with time, and is bounded", () => {
     const budget = new RetryBudget({ ratio: 0.1, maximumBalance: 3 });
     assert.deepEqual([budget.tryWithdraw(), budget.tryWithdraw(), budget.tryWithdraw(), budget.tryWithdraw()], [
         true,
@@ -175,34 +177,34 @@
     assert.deepEqual(Array.from({ length: 5 }, () => budget.tryWithdraw()).filter(Boolean).length, 3);
 });
 
-describe("a fuller upstream of which no answer has told", () => {
+describe("a fuller upstream without samples", () => {
     const load = { inFlight: 2, slots: 3, slowness: 1 };
     const u0 = upstreamId("u0");
 
-    test("is taken for crowded, but by a trial", () => {
-        const { beliefs, clock } = start();
-        beliefs.observe(u0, { type: "reported", atMs: clock.nowMs(), ...load });
-        assert.deepEqual([beliefs.facts()[0]?.bestInFlight, beliefs.facts(true)[0]?.bestInFlight], [2, 3]);
+    test("is assumed to slow down, except for exploration", () => {
+        const { beliefs: tracker, clock } = start();
+        tracker.observe(u0, { type: "reported", atMs: clock.nowMs(), ...load });
+        assert.deepEqual([tracker.facts()[0]?.bestInFlight, tracker.facts(true)[0]?.bestInFlight], [2, 3]);
     });
 
-    test("is tried by one request at a time", () => {
-        const { beliefs, clock } = start();
-        beliefs.observe(u0, { type: "reported", atMs: clock.nowMs(), ...load });
-        assert.equal(beliefs.mayExplore, true);
-        const trial = beliefs.startRequest(u0);
-        assert.equal(beliefs.mayExplore, false);
-        const other = beliefs.startRequest(upstreamId("u1"));
-        beliefs.finishRequest(other);
-        assert.equal(beliefs.mayExplore, false);
-        beliefs.finishRequest(trial);
-        assert.equal(beliefs.mayExplore, true);
+    test("is explored by one request at a time", () => {
+        const { beliefs: tracker, clock } = start();
+        tracker.observe(u0, { type: "reported", atMs: clock.nowMs(), ...load });
+        assert.equal(tracker.mayExplore, true);
+        const exploration = tracker.startRequest(u0);
+        assert.equal(tracker.mayExplore, false);
+        const other = tracker.startRequest(upstreamId("u1"));
+        tracker.finishRequest(other);
+        assert.equal(tracker.mayExplore, false);
+        tracker.finishRequest(exploration);
+        assert.equal(tracker.mayExplore, true);
     });
 
-    test("is known after three answers", () => {
-        const { beliefs, clock } = start();
-        const work = { baselineMs: 100, latencyMs: 100, expectedSlowdown: 1, reportAgeMs: 1 };
-        Array.from({ length: 10 }, () => beliefs.recordResponse({ ...work, atMs: clock.nowMs(), utilization: 0.3 }));
-        Array.from({ length: 3 }, () => beliefs.recordResponse({ ...work, atMs: clock.nowMs(), utilization: 1 }));
-        assert.equal(beliefs.facts()[0]?.bestInFlight, 3);
+    test("has a known contention after three samples", () => {
+        const { beliefs: tracker, clock } = start();
+        const sample = { baselineMs: 100, latencyMs: 100, expectedSlowdown: 1, reportAgeMs: 1 };
+        Array.from({ length: 10 }, () => tracker.recordResponse({ ...sample, atMs: clock.nowMs(), utilization: 0.3 }));
+        Array.from({ length: 3 }, () => tracker.recordResponse({ ...sample, atMs: clock.nowMs(), utilization: 1 }));
+        assert.equal(tracker.facts()[0]?.bestInFlight, 3);
     });
 });
--- a/packages/decision/test/upstream.ts
+++ b/packages/decision/test/upstream.ts
@@ -1,10 +1,8 @@
-/**
- * Facts of upstreams for tests.
- */
+/** Facts of upstreams for tests. */
 
 import type { UpstreamFacts } from "@harrierhitch/policy";
 
-/** An idle upstream in the instance's own availability zone; what differs is given. */
+/** Returns the facts of an idle upstream in the availability zone of the instance, with changes. */
 export const upstream = (id: string, change: Partial<UpstreamFacts> = {}): UpstreamFacts => ({
     id,
     availabilityZone: "hall-a",
