--- a/packages/decision/src/admission.ts
+++ b/packages/decision/src/admission.ts
@@ -31,7 +31,7 @@
     /** @param options - The limits that apply. */
     constructor(private readonly options: AdmissionOptions) {}
 
-    /** Milliseconds for which an upstream asked to receive no requests; 0 when it accepts them. */
+    /** Remaining backoff of an upstream, in milliseconds; 0 if it accepts requests. */
     backoffMs(upstream: UpstreamEntry): number {
         return this.options.notices.remainingBackoffMs(upstream);
     }
--- a/packages/decision/src/cold-admission.ts
+++ b/packages/decision/src/cold-admission.ts
@@ -31,8 +31,8 @@
 export interface SharedColdAdmissionOptions {
     readonly clock: Clock;
     /**
-     * Returns how many instances send to an upstream while it is cold, including this one; 0 if this one does not, or does not
-     * know the other members yet.
+     * Returns how many instances send to an upstream while it is cold, including this one; 0 if this one does not, or has not
+     * discovered the other members yet.
      */
     readonly participantsOf: (upstream: UpstreamId) => number;
 }
@@ -42,7 +42,7 @@
 /**
  * Assigns each cold upstream to a few instances, which send to it at even intervals. The other instances send nothing.
  *
- * Even intervals limit the sum in every second, not only on average, also while parts of the fleet do not know each other.
+ * Even intervals limit the sum in every second, not only on average, also while parts of the fleet are separated.
  */
 export class SharedColdAdmission implements ColdAdmission {
     private readonly sentAtMs = new Map<UpstreamId, number>();
@@ -61,8 +61,8 @@
 
     recordSent({ id }: ColdUpstream): void {
         const nowMs = this.options.clock.nowMs();
-        // Old entries no longer limit anything, and upstreams come and go.
-        this.sentAtMs.forEach((atMs, known) => nowMs - atMs > retentionMs ? this.sentAtMs.delete(known) : undefined);
+        // Removes old entries, which no longer limit anything, so that the map does not grow.
+        this.sentAtMs.forEach((atMs, otherId) => nowMs - atMs > retentionMs ? this.sentAtMs.delete(otherId) : undefined);
         this.sentAtMs.set(id, nowMs);
     }
 }
--- a/packages/decision/src/crash-history.ts
+++ b/packages/decision/src/crash-history.ts
@@ -40,7 +40,7 @@
 /** Time for which a request stays quarantined, in milliseconds. */
 const quarantineMs = 3_600_000;
 
-/** Records within this time of their expiry are not accepted, so that peers do not bring back expired ones. */
+/** Records within this time of their expiry are not accepted, so that peers do not reintroduce expired ones. */
 const expiryMarginMs = 30_000;
 
 /** Most records that are stored. */
@@ -157,9 +157,9 @@
     recentEntries(quarantined: readonly RequestSignature[], isDelta: boolean): readonly CrashRecord[] {
         const nowMs = this.options.clock.nowMs();
         const evidence = this.missingQuarantines(quarantined).flatMap(signature => this.quarantines.get(signature) ?? []);
-        const isNew = ({ changedAtMs }: StoredRecord): boolean => nowMs - changedAtMs < gossipMs;
-        const added = isDelta ? [] : [...this.entries.values()].filter(isNew).map(({ record }) => record).reverse();
-        return [...new Set([...evidence, ...added])].slice(0, maximumRecordsSent);
+        const isRecent = ({ changedAtMs }: StoredRecord): boolean => nowMs - changedAtMs < gossipMs;
+        const recent = isDelta ? [] : [...this.entries.values()].filter(isRecent).map(({ record }) => record).reverse();
+        return [...new Set([...evidence, ...recent])].slice(0, maximumRecordsSent);
     }
 
     /** Returns the quarantines of this instance that a peer lacks. */
--- a/packages/decision/src/decide.ts
+++ b/packages/decision/src/decide.ts
@@ -155,10 +155,10 @@
  * upstreams announce rate limits and such requests are refused.
  */
 const mustLeavePermit = ({ request, service, upstreams }: DecisionInput): boolean => {
-    const remaining = upstreams.filter(({ state }) => state !== "draining");
+    const notDraining = upstreams.filter(({ state }) => state !== "draining");
     return request.targetMs > 0 && request.targetLeftMs < 0
         && service.turnedAwayMs >= 0 && service.turnedAwayMs < scarceMs
-        && remaining.every(({ takesPerSecond }) => takesPerSecond >= 0);
+        && notDraining.every(({ takesPerSecond }) => takesPerSecond >= 0);
 };
 
 /**
--- a/packages/decision/src/expected-time-chooser.ts
+++ b/packages/decision/src/expected-time-chooser.ts
@@ -56,6 +56,6 @@
 export const expectedResponseTime = (candidate: UpstreamFacts): number => {
     // Requests beyond the optimal concurrency delay other requests too.
     const excess = Math.max(0, candidate.expectedInFlight + 1 - candidate.bestInFlight);
-    const cold = candidate.state === "cold" ? coldSlowdown : 1;
-    return candidate.expectedSlowness * candidate.crowding * cold * (1 + excess / Math.max(1, candidate.bestInFlight));
+    const coldFactor = candidate.state === "cold" ? coldSlowdown : 1;
+    return candidate.expectedSlowness * candidate.crowding * coldFactor * (1 + excess / Math.max(1, candidate.bestInFlight));
 };
--- a/packages/decision/src/limit-admission.ts
+++ b/packages/decision/src/limit-admission.ts
@@ -51,9 +51,8 @@
 const secondMs = 1000;
 
 /**
- * Participants for each request per second; one more is added. Each then has one permit in a period of a little more than two
- * seconds. Four seconds touch at most three periods, so the sum in any four seconds stays below one and a half times the limit
- * plus three requests.
+ * Participants per request per second; one more is added. Each participant then has one permit per period of a little more than
+ * two seconds, which bounds the number of requests in any short time.
  */
 const participantsPerRequest = 2;
 
--- a/packages/decision/src/observation.ts
+++ b/packages/decision/src/observation.ts
@@ -20,7 +20,7 @@
     readonly saidAtUnixMs?: number | undefined;
 }
 
-/** The upstream asked to receive no requests of this instance for some time. */
+/** The upstream requested a backoff: this instance must not send to it for some time. */
 export interface BackoffObservation {
     readonly type: "resting";
     readonly atMs: number;
@@ -45,10 +45,12 @@
 /** One observation of an upstream, at `atMs` on the instance's clock. */
 export type Observation =
     | {
+        /** This instance sent a request to it. */
         readonly type: "started";
         readonly atMs: number;
     }
     | LoadFigures & {
+        /** It responded to a request of this instance. */
         readonly type: "answered";
         readonly atMs: number;
         /** Time from sending the request to the head of the response. */
@@ -59,10 +61,12 @@
         readonly reportedInFlight: number | undefined;
     }
     | {
+        /** An attempt of this instance failed without a response. */
         readonly type: "failed";
         readonly atMs: number;
     }
     | {
+        /** It shed a request of this instance without running it. */
         readonly type: "shed";
         readonly atMs: number;
     }
--- a/packages/decision/src/permit-schedule.ts
+++ b/packages/decision/src/permit-schedule.ts
@@ -51,7 +51,7 @@
      * Returns the time until the next permit of the token bucket.
      *
      * @param nowMs - The time now.
-     * @param gapMs - Time in which one token is added.
+     * @param intervalMs - Time in which one token is added.
      * @param capacity - Most tokens.
      * @param fromMs - When tokens begin to be added.
      * @returns Milliseconds; 0 if there is a token.
--- a/packages/decision/src/poison-detection.ts
+++ b/packages/decision/src/poison-detection.ts
@@ -34,7 +34,7 @@
  */
 const sameCrashMs = 500;
 
-/** Timestamps are whole milliseconds. */
+/** Resolution of timestamps, in milliseconds: attempts that overlap by no more may have followed each other. */
 const resolutionMs = 1;
 
 /**
@@ -60,11 +60,11 @@
 
 /** Selects the records that count: of records that overlap only one, because one outage may crash many upstreams at once. */
 const selectConsecutive = (records: readonly CrashRecord[]): readonly CrashRecord[] => {
-    const gapMs = records.some(record => hasSucceededWith(record, allAttributes)) ? outageMs : -resolutionMs;
+    const minimumGapMs = records.some(record => hasSucceededWith(record, allAttributes)) ? outageMs : -resolutionMs;
     const counted: CrashRecord[] = [];
     [...records].sort((a, b) => a.endedAtUnixMs - b.endedAtUnixMs).forEach(record => {
         const previous = counted.at(-1);
-        if (previous === undefined || record.endedAtUnixMs - record.ranMs >= previous.endedAtUnixMs + gapMs) {
+        if (previous === undefined || record.endedAtUnixMs - record.ranMs >= previous.endedAtUnixMs + minimumGapMs) {
             counted.push(record);
         }
     });
--- a/packages/decision/src/service-load-model.ts
+++ b/packages/decision/src/service-load-model.ts
@@ -75,7 +75,7 @@
 /** Share of the reports with a slowdown below the baseline. */
 const baselineQuantile = 0.25;
 
-/** Largest relative step of the baseline per report: it follows a service that becomes slow as a whole within seconds. */
+/** Largest relative step of the baseline per report: within seconds it follows a service whose upstreams all become slow. */
 const baselineStep = 0.05;
 
 /** Factor by which the sums decay with each pair of reports. */
--- a/packages/decision/src/tracked-upstream.ts
+++ b/packages/decision/src/tracked-upstream.ts
@@ -62,7 +62,7 @@
     readonly isAdmitted: boolean;
     /** The pace at which this instance may send there; `undefined` without a rate limit. */
     readonly pace: LimitPace | undefined;
-    /** Milliseconds for which it asked to receive no requests; 0 when it accepts them. */
+    /** Its remaining backoff, in milliseconds; 0 if it accepts requests. */
     readonly backoffMs: number;
 }
 
--- a/packages/decision/src/upstream-backoff.ts
+++ b/packages/decision/src/upstream-backoff.ts
@@ -1,5 +1,5 @@
 /**
- * Handling of a request while all upstreams of its service asked for a backoff, or their rate limits permit nothing now.
+ * Handling of a request while all upstreams of its service requested a backoff, or their rate limits permit nothing now.
  *
  * @packageDocumentation
  */
@@ -25,13 +25,13 @@
  * @returns Milliseconds; `undefined` if some accept requests now, or there are none.
  */
 export const earliestAvailableMs = (upstreams: readonly UpstreamWait[]): number | undefined => {
-    const remaining = upstreams.filter(({ state }) => state !== "draining");
-    const usable = remaining.filter(({ state }) => state !== "ejected");
+    const notDraining = upstreams.filter(({ state }) => state !== "draining");
+    const usable = notDraining.filter(({ state }) => state !== "ejected");
     const waitMs = Math.min(...usable.map(waitForMs));
     if (usable.length === 0 || waitMs <= 0) {
         return undefined;
     }
-    return usable.length < remaining.length ? Math.min(waitMs, maximumEjectedWaitMs) : waitMs;
+    return usable.length < notDraining.length ? Math.min(waitMs, maximumEjectedWaitMs) : waitMs;
 };
 
 /** Returns the time until an upstream accepts a request of this instance, in milliseconds. */
--- a/packages/decision/src/upstream-estimate.ts
+++ b/packages/decision/src/upstream-estimate.ts
@@ -154,8 +154,13 @@
         : estimate;
 };
 
+/** Factor by which the limit of requests in flight decreases when an upstream sheds one. */
 const shedFactor = 0.7;
+
+/** Most requests in flight to an upstream that has just become cold. */
 const coldLimit = 1;
+
+/** Most requests in flight to an upstream after a backoff. */
 const limitAfterBackoff = 1;
 
 /** Failure rate below which an upstream leaves the state `suspect`. */
--- a/packages/decision/src/upstream-limits.ts
+++ b/packages/decision/src/upstream-limits.ts
@@ -71,8 +71,8 @@
 const maximumNoticesSent = 64;
 
 /**
- * Time after which a limit that still applies is sent again, in milliseconds, so that other instances know that someone still
- * receives it.
+ * Time after which a limit that still applies is sent again, in milliseconds, so that other instances know that it is still
+ * announced.
  */
 const confirmIntervalMs = 8000;
 
--- a/packages/decision/src/upstream-notices.ts
+++ b/packages/decision/src/upstream-notices.ts
@@ -46,7 +46,7 @@
     }
 
     /**
-     * Records that an incarnation asked for a backoff; an earlier backoff is not shortened.
+     * Records that an incarnation requested a backoff; an earlier backoff is not shortened.
      *
      * @param incarnation - The incarnation.
      * @param saidAtUnixMs - When it sent the notice, in milliseconds since the Unix epoch.
--- a/packages/decision/src/upstream-tracker.ts
+++ b/packages/decision/src/upstream-tracker.ts
@@ -33,7 +33,7 @@
     private tracked = new Map<UpstreamId, TrackedUpstream>();
     private loadModel: ServiceLoadModel = initialLoadModel;
     private readonly admission: Admission;
-    /** The request that explores a fuller upstream; only one at a time, because many would overload it. */
+    /** The request that explores an upstream beyond its optimal concurrency; one at a time, so as not to overload it. */
     private exploration: InFlightRequest | undefined;
 
     /** @param options - Clock, location and limits. */
@@ -120,7 +120,7 @@
         this.loadModel = updateFromResponse(this.loadModel, sample);
     }
 
-    /** Whether a request may explore a fuller upstream. */
+    /** Whether a request may explore an upstream beyond its optimal concurrency, to measure the contention there. */
     get mayExplore(): boolean {
         return this.exploration === undefined;
     }
--- a/packages/decision/test/cold-admission.test.ts
+++ b/packages/decision/test/cold-admission.test.ts
@@ -11,7 +11,7 @@
 const cold = { id: upstreamId("u1"), requestsPerSecond: 2.5 };
 
 describe("a cold upstream", () => {
-    test("receives nothing from an instance that is no participant, or does not know the other members yet", () => {
+    test("receives nothing from an instance that is no participant, or has not discovered the other members yet", () => {
         const admission = new SharedColdAdmission({ clock: new FakeClock(), participantsOf: () => 0 });
         assert.equal(admission.mayAdmit(cold), false);
     });
@@ -56,7 +56,7 @@
         tracker.configure({ upstreams: [], maximumConnections: 100, coldRequestsPerSecond: 2.5 }, 10, [upstream(change)]);
     const facts = () => tracker.facts()[0]!;
     configure();
-    return { clock, beliefs: tracker, configure, facts, sent: () => sent };
+    return { clock, tracker, configure, facts, sent: () => sent };
 };
 
 describe("an upstream that becomes cold without a restart", () => {
@@ -70,13 +70,13 @@
     });
 
     test("is cold after its own notice", () => {
-        const { beliefs: tracker, facts } = open();
+        const { tracker, facts } = open();
         tracker.observe(upstreamId("u1"), { type: "cooled", atMs: 0, coldMs: 500 }, 100);
         assert.equal(facts().state, "cold");
     });
 
     test("does not stay cold for longer when the same entry is applied again", async () => {
-        const { clock, beliefs: tracker, facts } = open();
+        const { clock, tracker, facts } = open();
         const entry = upstream({ coldMs: 1000 });
         const service = { upstreams: [], maximumConnections: 100, coldRequestsPerSecond: 2.5 };
         tracker.configure(service, 10, [entry]);
@@ -98,7 +98,7 @@
     });
 
     test("counts the requests that are sent to it", () => {
-        const { beliefs: tracker, configure, sent } = open();
+        const { tracker, configure, sent } = open();
         configure({ coldMs: 1000 });
         tracker.startRequest(upstreamId("u1"));
         assert.equal(sent(), 1);
@@ -118,7 +118,7 @@
 const cases: readonly Case[] = [
     {
         name: "starts without the estimate of the previous one",
-        act: ({ beliefs: tracker, configure }) => {
+        act: ({ tracker, configure }) => {
             tracker.startRequest(id);
             tracker.observe(id, { type: "reported", atMs: 0, inFlight: 5 }, 100);
             configure({ startedAtMs: 200 });
@@ -127,7 +127,7 @@
     },
     {
         name: "is not draining because the previous one was",
-        act: ({ beliefs: tracker, configure }) => {
+        act: ({ tracker, configure }) => {
             tracker.observe(id, { type: "draining", atMs: 0 }, 100);
             configure({ startedAtMs: 200 });
         },
@@ -135,7 +135,7 @@
     },
     {
         name: "ignores a late draining notice of the previous one",
-        act: ({ beliefs: tracker, configure }) => {
+        act: ({ tracker, configure }) => {
             configure({ startedAtMs: 200 });
             tracker.observe(id, { type: "draining", atMs: 50 }, 100);
         },
@@ -143,7 +143,7 @@
     },
     {
         name: "is draining after its own notice",
-        act: ({ beliefs: tracker, configure }) => {
+        act: ({ tracker, configure }) => {
             configure({ startedAtMs: 200 });
             tracker.observe(id, { type: "draining", atMs: 50 }, 200);
         },
@@ -151,7 +151,7 @@
     },
     {
         name: "ignores a late load report of the previous one",
-        act: ({ beliefs: tracker, configure }) => {
+        act: ({ tracker, configure }) => {
             configure({ startedAtMs: 200 });
             tracker.observe(id, { type: "reported", atMs: 0, inFlight: 5 }, 100);
         },
@@ -159,7 +159,7 @@
     },
     {
         name: "keeps its requests in flight when a request to the previous one ends",
-        act: ({ beliefs: tracker, configure }) => {
+        act: ({ tracker, configure }) => {
             const previous = tracker.startRequest(id);
             configure({ startedAtMs: 200 });
             tracker.startRequest(id);
--- a/packages/decision/test/sample-candidates.test.ts
+++ b/packages/decision/test/sample-candidates.test.ts
@@ -54,11 +54,11 @@
             slots: 3,
         }));
         tracker.configure({ maximumConnections: 1000, coldRequestsPerSecond: 0, upstreams }, 10);
-        return { beliefs: tracker, ids: upstreams.map(({ id }) => id) };
+        return { tracker, ids: upstreams.map(({ id }) => id) };
     };
 
     test("eligible ones that were not tried", () => {
-        const { beliefs: tracker, ids } = start();
+        const { tracker, ids } = start();
         const draining = ids.slice(0, 60);
         const tried = ids.slice(60, 70);
         draining.forEach(id => tracker.observe(id, { type: "draining", atMs: 1 }));
@@ -68,7 +68,7 @@
     });
 
     test("all if hardly any are eligible, so that a refusal gives the reasons", () => {
-        const { beliefs: tracker, ids } = start();
+        const { tracker, ids } = start();
         ids.slice(0, 95).forEach(id => tracker.observe(id, { type: "draining", atMs: 1 }));
         assert.deepEqual(tracker.selectCandidates([], draws()), ids);
     });
--- a/packages/decision/test/upstream-backoff.test.ts
+++ b/packages/decision/test/upstream-backoff.test.ts
@@ -1,5 +1,5 @@
 /**
- * Guards against requests to upstreams that asked for a backoff or whose rate limit is used up, and against callers that
+ * Guards against requests to upstreams that requested a backoff or whose rate limit is used up, and against callers that
  * wait in vain.
  */
 
--- a/packages/decision/test/upstream-limits.test.ts
+++ b/packages/decision/test/upstream-limits.test.ts
@@ -97,8 +97,8 @@
             const orders = Array.from(
                 { length: 4 },
                 () =>
-                    notices.map(notice => ({ word: notice, draw: random.next() })).sort((x, y) => x.draw - y.draw).map((
-                        { word: notice },
+                    notices.map(notice => ({ notice, draw: random.next() })).sort((x, y) => x.draw - y.draw).map((
+                        { notice },
                     ) => notice),
             );
             const ends = orders.map(order => {
--- a/packages/decision/test/upstream-tracker.test.ts
+++ b/packages/decision/test/upstream-tracker.test.ts
@@ -35,7 +35,7 @@
         assert.ok(found);
         return found;
     };
-    return { clock, beliefs: tracker, observe, facts };
+    return { clock, tracker, observe, facts };
 };
 
 const toObservation = (type: Observation["type"], atMs: number): Observation => {
@@ -128,7 +128,7 @@
     });
 
     test("a draining notice from before the upstream returned is ignored", async () => {
-        const { clock, beliefs: tracker, observe, facts } = start();
+        const { clock, tracker, observe, facts } = start();
         await clock.advance(1000);
         observe("u0", "returned");
         tracker.observe(upstreamId("u0"), { type: "draining", atMs: 500 });
@@ -153,7 +153,7 @@
     });
 
     test("requests in flight are counted for each upstream, with the age of the oldest", async () => {
-        const { clock, beliefs: tracker, facts } = start();
+        const { clock, tracker, facts } = start();
         const request = tracker.startRequest("u1" as UpstreamId);
         await clock.advance(30);
         tracker.startRequest("u1" as UpstreamId);
@@ -182,13 +182,13 @@
     const u0 = upstreamId("u0");
 
     test("is assumed to slow down, except for exploration", () => {
-        const { beliefs: tracker, clock } = start();
+        const { tracker, clock } = start();
         tracker.observe(u0, { type: "reported", atMs: clock.nowMs(), ...load });
         assert.deepEqual([tracker.facts()[0]?.bestInFlight, tracker.facts(true)[0]?.bestInFlight], [2, 3]);
     });
 
     test("is explored by one request at a time", () => {
-        const { beliefs: tracker, clock } = start();
+        const { tracker, clock } = start();
         tracker.observe(u0, { type: "reported", atMs: clock.nowMs(), ...load });
         assert.equal(tracker.mayExplore, true);
         const exploration = tracker.startRequest(u0);
@@ -201,7 +201,7 @@
     });
 
     test("has a known contention after three samples", () => {
-        const { beliefs: tracker, clock } = start();
+        const { tracker, clock } = start();
         const sample = { baselineMs: 100, latencyMs: 100, expectedSlowdown: 1, reportAgeMs: 1 };
         Array.from({ length: 10 }, () => tracker.recordResponse({ ...sample, atMs: clock.nowMs(), utilization: 0.3 }));
         Array.from({ length: 3 }, () => tracker.recordResponse({ ...sample, atMs: clock.nowMs(), utilization: 1 }));
