--- a/packages/fleet/src/crash-message.ts
+++ b/packages/fleet/src/crash-message.ts
@@ -23,7 +23,7 @@
  * @param history - Crash history of this instance.
  * @param nowMs - Time on this instance's clock, in milliseconds.
  * @param remoteQuarantines - Requests that the other instance quarantines.
- * @param isDelta - Whether to omit records that no quarantine is missing for.
+ * @param isDelta - Whether to include only the records for quarantines that the other instance lacks.
  */
 export const encodeCrashRecords = (
     history: CrashHistory,
--- a/packages/fleet/src/exchange-call.ts
+++ b/packages/fleet/src/exchange-call.ts
@@ -10,7 +10,7 @@
 export interface ExchangeCallOptions {
     /** Maximum time in milliseconds for which the other instance may wait for a change before it responds. */
     readonly longPollMs?: number;
-    /** Whether to send recent changes only, without the pending drain messages. */
+    /** Whether to omit drain messages, earlier limits, and crash records that the other instance doesn't need. */
     readonly isDelta?: boolean;
     /** The role in which the other instance is polled. */
     readonly role?: Role;
--- a/packages/fleet/src/link-task.ts
+++ b/packages/fleet/src/link-task.ts
@@ -27,7 +27,7 @@
 /** Minimum pause between two exchanges over one link, in milliseconds, so that changes are batched. */
 const minimumPauseMs = 20;
 
-/** Minimum interval between the starts of two exchanges over one link, in milliseconds; bounds the rate in any event. */
+/** Minimum interval between the starts of two exchanges over one link, in milliseconds; bounds the rate of exchanges. */
 const minimumIntervalMs = 100;
 
 /** Exchanges state with one member until it is stopped. */
--- a/packages/fleet/src/member.ts
+++ b/packages/fleet/src/member.ts
@@ -11,7 +11,7 @@
  *
  * - `alive`: Its heartbeat advances.
  * - `suspect`: No newer heartbeat arrived for some time, directly or through others.
- * - `failed`: No newer heartbeat arrived for longer, so it is unreachable for all instances.
+ * - `failed`: No newer heartbeat arrived for longer, so the member is considered unreachable for all instances.
  * - `left`: It announced that it leaves.
  */
 export type MemberState = "alive" | "suspect" | "failed" | "left";
--- a/packages/fleet/test/drain-gossip.test.ts
+++ b/packages/fleet/test/drain-gossip.test.ts
@@ -94,7 +94,7 @@
         { observers: 16, latencyMs: 1000 },
     ];
     cases.forEach(({ observers, latencyMs }) => {
-        test(`observed by ${observers} of 19 instances is sent at most once over each link, with a latency of ${latencyMs} ms`, async () => {
+        test(`observed by ${observers} of 19 instances is sent once per link at most, latency ${latencyMs} ms`, async () => {
             const { messages, recordedAsNew } = await spread({
                 instances: 19,
                 observers,
--- a/packages/fleet/test/fleet.test.ts
+++ b/packages/fleet/test/fleet.test.ts
@@ -42,7 +42,7 @@
     assert.deepEqual(activeGenerations(fleet), ids(18).map(() => 3));
 });
 
-test("a drain message of one instance reaches all 18 within 2 s, and one of an earlier incarnation never replaces it", async () => {
+test("a drain message of one instance reaches all 18 within 2 s, and none of an earlier incarnation replaces it", async () => {
     const fleet = await startFleet(18);
     fleet.node("n9").fleet.announceDraining("main-1", 2000);
     await fleet.clock.advance(100);
--- a/packages/fleet/test/member-assignment.test.ts
+++ b/packages/fleet/test/member-assignment.test.ts
@@ -21,28 +21,28 @@
     const clock = new FakeClock();
     const members = new Members({ clock, self: memberOf(self), times: defaultFleetTimes });
     members.merge(known.map(memberOf), "other");
-    const chosen = new MemberAssignment({ clock, members, joinedAtMs: 0, settleMs });
+    const assignment = new MemberAssignment({ clock, members, joinedAtMs: 0, settleMs });
     await clock.advance(afterMs);
-    return { chosen, members };
+    return { assignment, members };
 };
 
-/** Returns the number of participants that an instance finds for a cold upstream. */
-const sharersOf = async (self: number, known: readonly number[], upstream: string, afterMs = settleMs): Promise<number> =>
-    (await open(self, known, afterMs)).chosen.participantsOf(upstream);
+/** Returns the number of participants that an instance counts for a cold upstream. */
+const participantsOf = async (self: number, known: readonly number[], upstream: string, afterMs = settleMs): Promise<number> =>
+    (await open(self, known, afterMs)).assignment.participantsOf(upstream);
 
 const range = (count: number): readonly number[] => Array.from({ length: count }, (_, index) => index);
 
 describe("of instances that know each other", () => {
     [95, 312, 900].forEach(size => {
         test(`three of ${size} are participants of each cold upstream`, async () => {
-            const finds = await Promise.all(range(size).map(self => sharersOf(self, range(size), "u1")));
-            assert.deepEqual(finds.filter(count => count > 0), [3, 3, 3]);
+            const counts = await Promise.all(range(size).map(self => participantsOf(self, range(size), "u1")));
+            assert.deepEqual(counts.filter(count => count > 0), [3, 3, 3]);
         });
     });
 
     test("none is a participant before it has had time to discover the others", async () => {
-        const finds = await Promise.all(range(95).map(self => sharersOf(self, [], "u1", settleMs - 1)));
-        assert.ok(finds.every(count => count === 0));
+        const counts = await Promise.all(range(95).map(self => participantsOf(self, [], "u1", settleMs - 1)));
+        assert.ok(counts.every(count => count === 0));
     });
 
     test("fewer than twelve of 95 are participants of an upstream while each knows a random half of the others", async () => {
@@ -50,8 +50,8 @@
         const known = range(95).map(() => range(95).filter(() => random.next() < 0.5));
         const counts = await Promise.all(
             range(200).map(async upstream => {
-                const finds = await Promise.all(range(95).map(self => sharersOf(self, known[self] ?? [], `u${upstream}`)));
-                return finds.filter(count => count > 0).length;
+                const found = await Promise.all(range(95).map(self => participantsOf(self, known[self] ?? [], `u${upstream}`)));
+                return found.filter(count => count > 0).length;
             }),
         );
         assert.ok(Math.max(...counts) < 12, `up to ${Math.max(...counts)} participants`);
@@ -61,32 +61,32 @@
 describe("of instances that share the rate limit of an upstream", () => {
     [3, 13, 95, 300].forEach(size =>
         [2, 9, 42].forEach(wanted => {
-            test(`${wanted} of ${size} are wanted as participants, and all agree on the number and the members`, async () => {
+            test(`up to ${wanted} of ${size} are participants, and all agree on their number`, async () => {
                 const shares = await Promise.all(
-                    range(size).map(async self => (await open(self, range(size))).chosen.limitShare("u1", wanted)),
+                    range(size).map(async self => (await open(self, range(size))).assignment.limitShare("u1", wanted)),
                 );
-                const sharers = Math.min(wanted, size);
-                assert.equal(shares.filter(({ isParticipant: isSharer }) => isSharer).length, sharers);
-                assert.ok(shares.every(share => share.participants === sharers && share.members === size));
+                const participants = Math.min(wanted, size);
+                assert.equal(shares.filter(({ isParticipant }) => isParticipant).length, participants);
+                assert.ok(shares.every(share => share.participants === participants && share.members === size));
             });
         })
     );
 
     test("an instance that knows no other, has just joined, or leaves is no participant", async () => {
         const lonely = await open(0, []);
-        assert.deepEqual(lonely.chosen.limitShare("u1", 9), { isParticipant: false, participants: 2, members: 2 });
+        assert.deepEqual(lonely.assignment.limitShare("u1", 9), { isParticipant: false, participants: 2, members: 2 });
         const early = await open(0, range(3), settleMs - 1);
-        assert.equal(early.chosen.limitShare("u1", 9).isParticipant, false);
+        assert.equal(early.assignment.limitShare("u1", 9).isParticipant, false);
         const leaving = await open(0, range(3));
-        assert.equal(leaving.chosen.limitShare("u1", 9).isParticipant, true);
+        assert.equal(leaving.assignment.limitShare("u1", 9).isParticipant, true);
         leaving.members.updateSelf({ leaving: true });
-        assert.equal(leaving.chosen.limitShare("u1", 9).isParticipant, false);
+        assert.equal(leaving.assignment.limitShare("u1", 9).isParticipant, false);
     });
 
     test("members that are discovered later count", async () => {
-        const { chosen, members } = await open(0, range(3));
-        assert.equal(chosen.limitShare("u1", 9).participants, 3);
+        const { assignment, members } = await open(0, range(3));
+        assert.equal(assignment.limitShare("u1", 9).participants, 3);
         members.merge(range(8).map(memberOf), "other");
-        assert.equal(chosen.limitShare("u1", 9).participants, 8);
+        assert.equal(assignment.limitShare("u1", 9).participants, 8);
     });
 });
--- a/packages/published/src/fleet-times.ts
+++ b/packages/published/src/fleet-times.ts
@@ -24,7 +24,7 @@
     readonly failHeartbeats: number;
     /** Initial backoff of a member that did not respond; doubles with each consecutive failure. */
     readonly peerBackoffMs: number;
-    /** Time after joining during which an instance that is no seed doesn't become a reader, because it doesn't know all members. */
+    /** Time after joining during which an instance that is no seed doesn't read the platform, until it knows the members. */
     readonly settleMs: number;
     /** Staleness from which an instance reads the platform itself. */
     readonly staleAfterMs: number;
