--- a/packages/daemon/src/request/apply-response.ts
+++ b/packages/daemon/src/request/apply-response.ts
@@ -22,7 +22,7 @@
 
 /** A handler for each field, so that the compiler reports a field without one. */
 type FieldHandlers<Parsed> = {
-    readonly [Field in keyof Required<Parsed>]: (value: Parsed[Field], heard: ReceivedResponse) => void;
+    readonly [Field in keyof Required<Parsed>]: (value: Parsed[Field], received: ReceivedResponse) => void;
 };
 
 /** Least load that is assumed for an upstream that sheds, as a multiple of its slots. */
@@ -64,7 +64,7 @@
     },
     limit: (limit, received) => {
         const { clock, isProbe, sentAtMs } = received;
-        // A response to a probe or to another request may lack the limit although it still applies.
+        // A missing limit revokes the previous one only in a matching response to a request.
         const isAbsenceIgnored = limit.type === "none" && (isProbe || !isFromTarget(received));
         if (limit.type !== "unreadable" && !isAbsenceIgnored) {
             const perSecond = limit.type === "named" ? limit.perSecond : undefined;
--- a/packages/daemon/src/request/attempt-task.ts
+++ b/packages/daemon/src/request/attempt-task.ts
@@ -1,5 +1,5 @@
 /**
- * One attempt of a request at one upstream.
+ * One attempt to serve a request at one upstream.
  *
  * @packageDocumentation
  */
@@ -22,7 +22,7 @@
 import type { RequestProgress } from "./request-progress.js";
 import type { RequestServices } from "./request-services.js";
 
-/** Everything that one attempt needs. */
+/** Options of {@link AttemptTask}. */
 export interface AttemptOptions {
     readonly services: RequestServices;
     readonly runtime: ServiceRuntime;
@@ -60,7 +60,7 @@
 /** Ends of attempts that do not count as a failure of the upstream. */
 const blamelessEnds: ReadonlySet<AttemptEnd> = new Set<AttemptEnd>(["answered", "cancelled", "withdrawn"]);
 
-/** Runs one attempt to its end. */
+/** Sends a request to one upstream, processes the response and records the result. */
 export class AttemptTask implements ResponseSink {
     /** Resolves when the attempt has ended; never rejects. */
     readonly ended: Promise<AttemptReport>;
--- a/packages/daemon/src/request/callers-server.ts
+++ b/packages/daemon/src/request/callers-server.ts
@@ -15,7 +15,7 @@
 import { hasBody } from "./request-body.js";
 
 /** Serves one request; it never rejects. */
-export type RequestHandler = (request: IncomingMessage, answer: CallerResponse) => Promise<void>;
+export type RequestHandler = (request: IncomingMessage, response: CallerResponse) => Promise<void>;
 
 /** Options of {@link CallersServer}. */
 export interface CallersServerOptions {
@@ -100,28 +100,28 @@
         return abortedRequests;
     }
 
-    private handleContinue(request: IncomingMessage, response: ServerResponse): void {
+    private handleContinue(request: IncomingMessage, nodeResponse: ServerResponse): void {
         const length = Number(request.headers["content-length"] ?? 0);
         if (length <= this.maximumBodyBytes) {
-            response.writeContinue();
+            nodeResponse.writeContinue();
         }
-        this.handleRequest(request, response);
+        this.handleRequest(request, nodeResponse);
     }
 
-    private handleRequest(request: IncomingMessage, response: ServerResponse): void {
+    private handleRequest(request: IncomingMessage, nodeResponse: ServerResponse): void {
         if (this.stopping) {
-            response.setHeader("connection", "close");
+            nodeResponse.setHeader("connection", "close");
         }
-        const answer = new CallerResponse(request, response);
+        const response = new CallerResponse(request, nodeResponse);
         const problem = findRequestProblem(request);
         if (problem !== undefined) {
-            answer.sendProblem(problem, undefined);
+            response.sendProblem(problem, undefined);
             return;
         }
         if (!hasBody(request)) {
             request.resume();
         }
-        const task = this.options.handler(request, answer).finally(() => this.tasks.delete(task));
+        const task = this.options.handler(request, response).finally(() => this.tasks.delete(task));
         this.tasks.add(task);
         this.hasServedAny = true;
     }
--- a/packages/daemon/src/request/crash-detector.ts
+++ b/packages/daemon/src/request/crash-detector.ts
@@ -73,7 +73,7 @@
      */
     shouldQuarantine(request: RequestId, key: () => RequestKey): boolean {
         const signatures = this.history.size > 0 ? this.history.matchingQuarantines(key()) : [];
-        return signatures.length > 0 && !this.trials.admits(request, signatures);
+        return signatures.length > 0 && !this.trials.tryAdmit(request, signatures);
     }
 
     /** Whether a request is a running trial of a quarantined signature. */
--- a/packages/daemon/src/request/headers.ts
+++ b/packages/daemon/src/request/headers.ts
@@ -56,15 +56,15 @@
  * Returns the headers of a response to a caller.
  *
  * @param headers - The headers received from the upstream.
- * @param own - Headers that are added or replace received ones.
+ * @param added - Headers that are added or replace received ones.
  */
-export const responseHeaders = (headers: IncomingHttpHeaders, own: OutgoingHttpHeaders): OutgoingHttpHeaders => {
+export const responseHeaders = (headers: IncomingHttpHeaders, added: OutgoingHttpHeaders): OutgoingHttpHeaders => {
     const dropped = namedByConnection(headers.connection);
-    const kept: OutgoingHttpHeaders = {};
+    const forwarded: OutgoingHttpHeaders = {};
     for (const name in headers) {
         if (!hopByHop.has(name) && !dropped.includes(name)) {
-            kept[name] = headers[name];
+            forwarded[name] = headers[name];
         }
     }
-    return Object.assign(kept, own);
+    return Object.assign(forwarded, added);
 };
--- a/packages/daemon/src/request/quarantine-trials.ts
+++ b/packages/daemon/src/request/quarantine-trials.ts
@@ -26,7 +26,7 @@
     constructor(private readonly options: QuarantineTrialsOptions) {}
 
     /** Whether a request may be sent although its signatures are quarantined; if so, it becomes their trial. */
-    admits(request: RequestId, signatures: readonly RequestSignature[]): boolean {
+    tryAdmit(request: RequestId, signatures: readonly RequestSignature[]): boolean {
         if (this.activeTrials.has(request)) {
             return signatures.every(signature => this.trialRequests.get(signature) === request);
         }
--- a/packages/daemon/src/request/request-progress.ts
+++ b/packages/daemon/src/request/request-progress.ts
@@ -106,7 +106,7 @@
         return this.deadlineAtMs - this.services.clock.nowMs();
     }
 
-    /** Whether too little time is left for another attempt. */
+    /** Whether too little time is left until the deadline for another attempt. */
     get isLate(): boolean {
         return this.remainingMs <= minimumAttemptMs;
     }
--- a/packages/daemon/src/request/response-notice.ts
+++ b/packages/daemon/src/request/response-notice.ts
@@ -38,10 +38,10 @@
 const backoffStatuses: ReadonlySet<number> = new Set([429, 503]);
 
 /**
- * Reads for how long an upstream wants nothing more.
+ * Reads how long an upstream asks to be left without requests.
  *
- * @param status - Status of the answer.
- * @param headers - Its headers.
+ * @param status - Status of the response.
+ * @param headers - Headers of the response.
  */
 export const readBackoff = (
     status: number,
@@ -51,4 +51,5 @@
     return { backoffMs: delayMs === 0 ? undefined : delayMs, invalidRetryAfter: unreadable };
 };
 
+/** Result for a response without a `Retry-After` that applies. */
 const noRetryAfter: ParsedRetryAfter = { delayMs: undefined, unreadable: undefined };
--- a/packages/daemon/src/request/upstream-selection.ts
+++ b/packages/daemon/src/request/upstream-selection.ts
@@ -113,9 +113,9 @@
         }
         const isRepeat = tried.length > 0 || progress.heldMs > 0;
         const maximumProbes = isRepeat ? parallelProbes : policy.probeCandidates;
-        for (let left = maximumProbes; left > 0 && !hasGoodCandidate(); left -= parallelProbes) {
+        for (let remaining = maximumProbes; remaining > 0 && !hasGoodCandidate(); remaining -= parallelProbes) {
             const timeoutMs = endAtMs - services.clock.nowMs();
-            const upstreams = this.nextProbeTargets(probed, Math.min(parallelProbes, left));
+            const upstreams = this.nextProbeTargets(probed, Math.min(parallelProbes, remaining));
             if (timeoutMs <= 0 || upstreams.length === 0) {
                 return;
             }
