--- a/packages/daemon/src/request/attempt-task.ts
+++ b/packages/daemon/src/request/attempt-task.ts
@@ -33,7 +33,7 @@
     /** Facts about the upstream when it was selected. */
     readonly selectionFacts: UpstreamFacts | undefined;
     /** Decides whether this attempt may stream its response to the caller. */
-    readonly mayStream: (reading: ParsedResponse) => boolean;
+    readonly mayStream: (response: ParsedResponse) => boolean;
 }
 
 /** Result of an attempt. */
@@ -210,7 +210,7 @@
         }
     }
 
-    /** This attempt as a crash record. */
+    /** Describes this attempt for the crash detector. */
     private observedCrash(): ObservedCrash {
         const { services, progress, body, upstream } = this.options;
         const { id: request, attempts } = progress.record;
--- a/packages/daemon/src/request/caller-response.ts
+++ b/packages/daemon/src/request/caller-response.ts
@@ -52,7 +52,7 @@
     /**
      * Waits until all earlier requests on the connection have their responses.
      *
-     * @returns Whether they have; otherwise the connection was closed first, and the caller may assume that the request was not read.
+     * @returns Whether they have; otherwise the connection was closed, and the caller may assume that the request was not read.
      */
     awaitPipelineOrder(): Promise<boolean> {
         if (this.disconnected || this.response.socket !== null) {
@@ -114,20 +114,20 @@
         if (this.headersSent || this.disconnected) {
             return;
         }
-        const passedOn = responseHeaders(headers, extraHeaders);
+        const forwardedHeaders = responseHeaders(headers, extraHeaders);
         if (this.mustClose) {
-            passedOn["connection"] = "close";
+            forwardedHeaders["connection"] = "close";
         }
         const mayHaveBody = this.request.method !== "HEAD" && status !== noContentStatus && status !== notModifiedStatus;
         if (mayHaveBody && isFramed) {
-            passedOn["content-length"] = body.length;
+            forwardedHeaders["content-length"] = body.length;
         }
         else if (mayHaveBody) {
-            passedOn["connection"] = "close";
+            forwardedHeaders["connection"] = "close";
             this.response.useChunkedEncodingByDefault = false;
         }
         this.finished = true;
-        this.response.writeHead(status, passedOn);
+        this.response.writeHead(status, forwardedHeaders);
         this.response.end(body);
     }
 
--- a/packages/daemon/src/request/hold-queue.ts
+++ b/packages/daemon/src/request/hold-queue.ts
@@ -29,11 +29,12 @@
     readonly onDisconnect: (listener: () => void) => () => void;
 }
 
+/** A queued request with the callback that removes it from the queue. */
 interface QueueEntry extends QueuedRequest {
     readonly finish: (result: HoldResult) => void;
 }
 
-/** Interval at which a queued request is decided again although no request finished. */
+/** Interval at which a queued request is decided again although no request has finished. */
 const reviewIntervalMs = 20;
 
 /**
@@ -61,7 +62,7 @@
      * Makes sure that the queue can take one more request, if necessary by displacing a lighter one.
      *
      * @param weight - Weight of the new request.
-     * @param maximumQueued - Most requests in the queue.
+     * @param maximumQueued - Maximum number of queued requests.
      * @returns Whether the request may be queued.
      */
     ensureCapacity(weight: number, maximumQueued: number): boolean {
--- a/packages/daemon/src/request/refuse.ts
+++ b/packages/daemon/src/request/refuse.ts
@@ -9,7 +9,7 @@
 import type { RequestProgress } from "./request-progress.js";
 
 /**
- * Sends the problem of a refused request, and reserves a time for its retry if upstreams announce rate limits.
+ * Sends the problem of a refused request; if the cause is a rate limit, the retry is recorded in the schedule.
  *
  * @param progress - The request.
  * @param runtime - State of its service.
--- a/packages/daemon/src/request/request-dispatcher.ts
+++ b/packages/daemon/src/request/request-dispatcher.ts
@@ -34,7 +34,7 @@
     readonly response: CallerResponse;
     /** Time of arrival; earlier than now if the request waited for this instance to become ready. */
     readonly arrivedAtMs: number;
-    /** Whether peers were contacted, so that the active configuration is up to date. */
+    /** Whether peers were contacted; until then the active configuration may be outdated. */
     readonly hasContactedPeers: boolean;
 }
 
--- a/packages/daemon/src/request/request-task.ts
+++ b/packages/daemon/src/request/request-task.ts
@@ -23,7 +23,7 @@
 import { endStream, giveUpAfterAttempt, sendResponse } from "./send-response.js";
 import { isHedgeWorthwhile, UpstreamSelection } from "./upstream-selection.js";
 
-/** Serves one request, with at most one hedged attempt beside the first. */
+/** Serves one request, with retries and at most one hedge. */
 export class RequestTask {
     private readonly tried: UpstreamId[] = [];
     private readonly running = new Set<AttemptTask>();
@@ -45,7 +45,7 @@
         this.selection = new UpstreamSelection(services, runtime, progress);
     }
 
-    /** Serves the request until a response is sent or the caller disconnects. */
+    /** Serves the request until it is finished, and completes its record. */
     async run(): Promise<void> {
         const { progress, services } = this;
         services.explanations.begin(progress.record);
--- a/packages/daemon/src/request/upstream-selection.ts
+++ b/packages/daemon/src/request/upstream-selection.ts
@@ -146,9 +146,9 @@
     }
 }
 
-/** Expected time of a hedge, as a multiple of the baseline, above which it would mainly add load. */
+/** Expected time, as a multiple of the baseline, above which a hedge would mainly add load. */
 const maximumHedgeTime = 1.6;
 
-/** Whether a hedge to the selected upstream is likely to respond sooner. */
+/** Whether a candidate is likely to respond sooner than the first attempt; true if the selector gives no scores. */
 export const isHedgeWorthwhile = ({ scores }: Decision): boolean =>
     scores.every(score => score === undefined) || scores.some(score => score !== undefined && score < maximumHedgeTime);
