--- a/packages/daemon/src/request/attempt-task.ts
+++ b/packages/daemon/src/request/attempt-task.ts
@@ -1,5 +1,5 @@
 /**
- * One attempt of a request at one upstream.
+ * One attempt to serve a request at one upstream.
  *
  * @packageDocumentation
  */
@@ -22,7 +22,7 @@
 import type { RequestProgress } from "./request-progress.js";
 import type { RequestServices } from "./request-services.js";
 
-/** Everything that one attempt needs. */
+/** Options of {@link AttemptTask}. */
 export interface AttemptOptions {
     readonly services: RequestServices;
     readonly runtime: ServiceRuntime;
@@ -33,7 +33,7 @@
     /** Facts about the upstream when it was selected. */
     readonly selectionFacts: UpstreamFacts | undefined;
     /** Decides whether this attempt may stream its response to the caller. */
-    readonly mayStream: (reading: ParsedResponse) => boolean;
+    readonly mayStream: (response: ParsedResponse) => boolean;
 }
 
 /** Result of an attempt. */
@@ -60,7 +60,7 @@
 /** Ends of attempts that do not count as a failure of the upstream. */
 const blamelessEnds: ReadonlySet<AttemptEnd> = new Set<AttemptEnd>(["answered", "cancelled", "withdrawn"]);
 
-/** Runs one attempt to its end. */
+/** Sends a request to one upstream, processes the response and records the result. */
 export class AttemptTask implements ResponseSink {
     /** Resolves when the attempt has ended; never rejects. */
     readonly ended: Promise<AttemptReport>;
@@ -210,7 +210,7 @@
         }
     }
 
-    /** This attempt as a crash record. */
+    /** Describes this attempt for the crash detector. */
     private observedCrash(): ObservedCrash {
         const { services, progress, body, upstream } = this.options;
         const { id: request, attempts } = progress.record;
--- a/packages/daemon/src/request/upstream-selection.ts
+++ b/packages/daemon/src/request/upstream-selection.ts
@@ -113,9 +113,9 @@
         }
         const isRepeat = tried.length > 0 || progress.heldMs > 0;
         const maximumProbes = isRepeat ? parallelProbes : policy.probeCandidates;
-        for (let left = maximumProbes; left > 0 && !hasGoodCandidate(); left -= parallelProbes) {
+        for (let remaining = maximumProbes; remaining > 0 && !hasGoodCandidate(); remaining -= parallelProbes) {
             const timeoutMs = endAtMs - services.clock.nowMs();
-            const upstreams = this.nextProbeTargets(probed, Math.min(parallelProbes, left));
+            const upstreams = this.nextProbeTargets(probed, Math.min(parallelProbes, remaining));
             if (timeoutMs <= 0 || upstreams.length === 0) {
                 return;
             }
@@ -146,9 +146,9 @@
     }
 }
 
-/** Expected time of a hedge, as a multiple of the baseline, above which it would mainly add load. */
+/** Expected time, as a multiple of the baseline, above which a hedge would mainly add load. */
 const maximumHedgeTime = 1.6;
 
-/** Whether a hedge to the selected upstream is likely to respond sooner. */
+/** Whether a candidate is likely to respond sooner than the first attempt; true if the selector gives no scores. */
 export const isHedgeWorthwhile = ({ scores }: Decision): boolean =>
     scores.every(score => score === undefined) || scores.some(score => score !== undefined && score < maximumHedgeTime);
