--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -106,7 +106,7 @@
         const { activeConfiguration, services: registry, telemetry } = this;
         this.requestDispatcher = new RequestDispatcher({
             services,
-            accepted: activeConfiguration,
+            activeConfiguration: activeConfiguration,
             registry,
             telemetry,
             samples: new LowDiscrepancySequence(random),
--- a/packages/daemon/src/request/request-dispatcher.ts
+++ b/packages/daemon/src/request/request-dispatcher.ts
@@ -20,7 +20,7 @@
 /** Options of {@link RequestDispatcher}. */
 export interface RequestDispatcherOptions {
     readonly services: RequestServices;
-    readonly accepted: ActiveConfiguration;
+    readonly activeConfiguration: ActiveConfiguration;
     /** State of all services. */
     readonly registry: ServiceRegistry;
     readonly telemetry: Telemetry;
@@ -45,7 +45,7 @@
 
     /** Serves a request until it is finished. */
     async serve({ request, response, arrivedAtMs, hasContactedPeers }: ArrivedRequest): Promise<void> {
-        const { services, accepted: { current }, registry, telemetry } = this.options;
+        const { services, activeConfiguration: { current }, registry, telemetry } = this.options;
         if (current === undefined || !hasContactedPeers) {
             const detail = current === undefined ? "no configuration has been accepted yet" : "others have not been heard yet";
             response.sendProblem(
