--- a/packages/daemon/src/upstream/upstream-agent.ts
+++ b/packages/daemon/src/upstream/upstream-agent.ts
@@ -28,9 +28,9 @@
     /** Idle timeouts announced by the upstream, by connection. */
     private readonly announcedTimeoutMs = new WeakMap<Socket, number>();
 
-    /** @param options - Limits. */
-    constructor(private readonly options: UpstreamAgentOptions) {
-        super({ keepAlive: true, maxSockets: options.connections, scheduling: "lifo", timeout: options.keepAliveMs });
+    /** @param limits - Limits of the connections; `Agent` itself has a property named `options`. */
+    constructor(private readonly limits: UpstreamAgentOptions) {
+        super({ keepAlive: true, maxSockets: limits.connections, scheduling: "lifo", timeout: limits.keepAliveMs });
     }
 
     /** Records the idle timeout announced in a response's `Keep-Alive` header. */
@@ -59,7 +59,7 @@
         }
         socket.setKeepAlive(true);
         socket.unref();
-        socket.setTimeout(Math.max(1, Math.min(this.options.keepAliveMs, this.announcedTimeoutMs.get(socket) ?? Infinity)));
+        socket.setTimeout(Math.max(1, Math.min(this.limits.keepAliveMs, this.announcedTimeoutMs.get(socket) ?? Infinity)));
         // Data on an idle connection belongs to no request.
         socket.once("data", destroySocket);
         return true;
