--- a/packages/standin/src/bench.ts
+++ b/packages/standin/src/bench.ts
@@ -13,7 +13,7 @@
 import { reportDecisions } from "./bench-decision-time.js";
 import { reportRecordMemory } from "./bench-memory.js";
 import { type Child, programs, startChild } from "./child.js";
-import { closedLoop, type LoadResult, openLoop, percentileMs } from "./load.js";
+import { closedLoop, type LoadResult, openLoop, percentileMs } from "./load-generator.js";
 import { loopbackSettings } from "./loopback-settings.js";
 
 const upstreamCount = 10;
--- a/packages/standin/src/soak/faults.ts
+++ b/packages/standin/src/soak/fault-injector.ts
@@ -7,7 +7,7 @@
 import type { UpstreamBehaviour } from "../upstream-behaviour.js";
 import type { EntryProcess } from "./entry-process.js";
 import { noFault, type ProxyFault } from "./fault-proxy.js";
-import type { FaultKind, PlannedFault } from "./schedule.js";
+import type { FaultKind, PlannedFault } from "./fault-schedule.js";
 import type { SoakServers, SoakUpstream } from "./soak-servers.js";
 
 /** Time after which an instance that was killed is started again, in milliseconds. */
--- a/packages/standin/src/soak/soak-callers.ts
+++ b/packages/standin/src/soak/soak-callers.ts
@@ -7,7 +7,7 @@
 import type { RandomSource } from "@harrierhitch/core";
 import { Agent, request } from "node:http";
 import type { EntryProcess } from "./entry-process.js";
-import type { SeenAnswer, SoakJudge } from "./judge.js";
+import type { SeenAnswer, SoakJudge } from "./soak-checker.js";
 
 /** Header that names the instance to which a caller sent its request; instances pass it on. */
 export const entryHeader = "x-soak-entry";
--- a/packages/standin/src/soak/judge.ts
+++ b/packages/standin/src/soak/soak-checker.ts
@@ -5,7 +5,7 @@
  */
 
 import type { AskedByUpstream } from "../upstream-standin.js";
-import { LimitWatch } from "./limit-watch.js";
+import { LimitWatch } from "./limit-checker.js";
 
 /** What a caller saw of one request. */
 export interface SeenAnswer {
--- a/packages/standin/src/soak/soak-servers.ts
+++ b/packages/standin/src/soak/soak-servers.ts
@@ -10,8 +10,8 @@
 import { type AskedByUpstream, asksNothing, upstreamProbePath, UpstreamStandin } from "../upstream-standin.js";
 import type { EntryProcess } from "./entry-process.js";
 import { FaultProxy, type ProxyFault } from "./fault-proxy.js";
-import type { SoakJudge } from "./judge.js";
 import { entryHeader } from "./soak-callers.js";
+import type { SoakJudge } from "./soak-checker.js";
 
 /** Options of {@link SoakServers}. */
 export interface SoakServersOptions {
--- a/packages/standin/src/soak/soak.ts
+++ b/packages/standin/src/soak/soak.ts
@@ -9,11 +9,11 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { EntryProcess } from "./entry-process.js";
-import { SoakFaults } from "./faults.js";
-import { SoakJudge, type Violation } from "./judge.js";
-import { LagWatch } from "./lag.js";
-import { drawFaults } from "./schedule.js";
+import { SoakFaults } from "./fault-injector.js";
+import { drawFaults } from "./fault-schedule.js";
+import { LagWatch } from "./lag-monitor.js";
 import { SoakCallers } from "./soak-callers.js";
+import { SoakJudge, type Violation } from "./soak-checker.js";
 import { SoakServers } from "./soak-servers.js";
 
 /** Options of {@link runSoak}. */
--- a/packages/standin/test/soak-judge.test.ts
+++ b/packages/standin/test/soak-checker.test.ts
@@ -4,7 +4,7 @@
 
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
-import { type SeenAnswer, SoakJudge } from "../src/soak/judge.js";
+import { type SeenAnswer, SoakJudge } from "../src/soak/soak-checker.js";
 import { asksNothing } from "../src/upstream-standin.js";
 
 const answer = (change: Partial<SeenAnswer> = {}): SeenAnswer => ({
--- a/packages/standin/test/soak.test.ts
+++ b/packages/standin/test/soak.test.ts
@@ -5,7 +5,7 @@
 import { SeededRandom } from "@harrierhitch/core";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { drawFaults, faultKinds } from "../src/soak/schedule.js";
+import { drawFaults, faultKinds } from "../src/soak/fault-schedule.js";
 import { runSoak } from "../src/soak/soak.js";
 
 const seed = 1;
