--- a/packages/standin/src/bench-fleet.ts
+++ b/packages/standin/src/bench-fleet.ts
@@ -101,10 +101,10 @@
         await waitUntilServing(lines, instances);
         await wait(settleMs);
         const before = snapshot(lines);
-        const callsBefore = await calls(platform.port);
+        const callsBefore = await readPlatformCalls(platform.port);
         await wait(idleMs);
         const after = snapshot(lines);
-        const callsAfter = await calls(platform.port);
+        const callsAfter = await readPlatformCalls(platform.port);
         const propagationMs = await measurePropagation(lines, instances, publish);
         report(instances, lines, before, after, (callsAfter - callsBefore) * 1000 / idleMs, propagationMs);
     }
@@ -139,9 +139,9 @@
     loopbackBytes: Number(/lo:\s*(\d+)/.exec(readFileSync("/proc/net/dev", "utf8"))?.[1] ?? 0),
 });
 
-const calls = async (port: number): Promise<number> => {
+const readPlatformCalls = async (port: number): Promise<number> => {
     const response = await request(`http://127.0.0.1:${port}/calls`);
-    return (await response.body.json() as { readonly readPlatformCalls: number; }).readPlatformCalls;
+    return (await response.body.json() as { readonly calls: number; }).calls;
 };
 
 const measurePropagation = async (
--- a/packages/standin/src/soak/limit-checker.ts
+++ b/packages/standin/src/soak/limit-checker.ts
@@ -70,8 +70,8 @@
     }
 
     private check(upstream: string, limited: LimitState, atMs: number): void {
-        const { perSecond, sinceMs, arrivalsMs, isViolated: isBroken } = limited;
-        if (!isBroken && atMs >= sinceMs + settleMs && arrivalsMs.length > maximumRequests(perSecond)) {
+        const { perSecond, sinceMs, arrivalsMs, isViolated } = limited;
+        if (!isViolated && atMs >= sinceMs + settleMs && arrivalsMs.length > maximumRequests(perSecond)) {
             limited.isViolated = true;
             this.onViolation(
                 `${upstream} announced a limit of ${perSecond} requests per second and received ${arrivalsMs.length} requests in ${windowMs} ms`,
--- a/packages/standin/src/soak/soak-servers.ts
+++ b/packages/standin/src/soak/soak-servers.ts
@@ -126,18 +126,18 @@
     private recordArrival(
         { name, proxy }: SoakUpstream,
         request: IncomingMessage,
-        asks: UpstreamAnnouncement,
+        announced: UpstreamAnnouncement,
     ): void {
         const entry = this.entries.find(({ options }) => options.name === request.headers[entryHeader]);
         if (entry !== undefined) {
-            const received = proxy.fault.dropsResponses || proxy.fault.dropsRequests ? noAnnouncement : asks;
+            const received = proxy.fault.dropsResponses || proxy.fault.dropsRequests ? noAnnouncement : announced;
             const { incarnation, options } = entry;
             this.options.checker.recordArrival(name, { name: options.name, incarnation }, performance.now(), received);
         }
     }
 
     private configuration(generation: number): string {
-        const configured = this.upstreams.filter(({ isConfigured: isListed }) => isListed);
+        const configured = this.upstreams.filter(({ isConfigured }) => isConfigured);
         return [
             `generation = ${generation}`,
             "[fleet]",
--- a/packages/standin/test/backpressure.test.ts
+++ b/packages/standin/test/backpressure.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against buffering a response without bound when its caller reads slowly.
+ */
+
 import assert from "node:assert/strict";
 import type { Socket } from "node:net";
 import { test } from "node:test";
@@ -6,11 +10,11 @@
 import { startSystem, waitUntil } from "./system.js";
 
 const bodyBytes = 64 * 1024 * 1024;
-const stillLooks = 40;
+const requiredUnchangedChecks = 40;
 
-test("a reader that stalls stalls the upstream, and gets the whole answer when it goes on", async () => {
+test("a caller that stops reading pauses the upstream, and receives the complete response when it resumes", async () => {
     let upstreamSocket: Socket | undefined;
-    const scripted = new ScriptedUpstream(socket => {
+    const upstream = new ScriptedUpstream(socket => {
         upstreamSocket = socket;
         socket.write(`HTTP/1.1 200 OK\r\ncontent-length: ${bodyBytes}\r\n\r\n`);
         socket.write(Buffer.alloc(bodyBytes, "x"));
@@ -19,7 +23,7 @@
     try {
         system.platform.publish(
             "configuration",
-            system.document(2, [await scripted.listen()]).replace("[kind.read]", "[kind.read]\ntimeoutMs = 60000"),
+            system.document(2, [await upstream.listen()]).replace("[kind.read]", "[kind.read]\ntimeoutMs = 60000"),
         );
         await waitUntil(() => system.daemon.instance.generation === 2);
         const caller = openCaller(system.callersPort, "GET /read/scan HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
@@ -31,21 +35,24 @@
         });
         await waitUntil(() => received > 0);
         caller.pause();
-        let taken = -1;
-        let looks = 0;
+        let bytesSent = -1;
+        let unchangedChecks = 0;
         await waitUntil(() => {
-            const now = upstreamSocket?.bytesWritten === undefined ? 0 : bodyBytes - upstreamSocket.writableLength;
-            looks = now === taken ? looks + 1 : 0;
-            taken = now;
-            return looks >= stillLooks;
+            const sentNow = upstreamSocket?.bytesWritten === undefined ? 0 : bodyBytes - upstreamSocket.writableLength;
+            unchangedChecks = sentNow === bytesSent ? unchangedChecks + 1 : 0;
+            bytesSent = sentNow;
+            return unchangedChecks >= requiredUnchangedChecks;
         });
-        assert.ok(upstreamSocket!.writableLength > 0, "the upstream could send everything although nobody read it");
+        assert.ok(
+            upstreamSocket!.writableLength > 0,
+            "the upstream sent the complete response although the caller did not read it",
+        );
         caller.resume();
         await waitUntil(() => caller.closed);
         assert.equal(received - headBytes, bodyBytes);
     }
     finally {
         await system.stop();
-        await scripted.close();
+        await upstream.close();
     }
 });
--- a/packages/standin/test/caller-faults.test.ts
+++ b/packages/standin/test/caller-faults.test.ts
@@ -1,6 +1,10 @@
+/**
+ * Guards against malformed requests and disconnected callers that affect upstreams or other requests.
+ */
+
 import assert from "node:assert/strict";
 import { after, before, describe, test } from "node:test";
-import { exchange, openCaller } from "./raw-caller.js";
+import { openCaller, sendRaw } from "./raw-caller.js";
 import { startSystem, type System, waitUntil } from "./system.js";
 
 let system: System;
@@ -26,19 +30,19 @@
 
 const rawCases: readonly RawCase[] = [
     {
-        name: "both lengths",
+        name: "both a content length and a transfer encoding",
         text: `POST /issue HTTP/1.1\r\n${host}content-length: 3\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n`,
         status: 400,
         outcome: "not-run",
     },
     {
-        name: "two different lengths",
+        name: "two different content lengths",
         text: `POST /issue HTTP/1.1\r\n${host}content-length: 3\r\ncontent-length: 4\r\n\r\nabcd`,
         status: 400,
         outcome: "not-run",
     },
     {
-        name: "a length that is no number",
+        name: "a content length that is not a number",
         text: `POST /issue HTTP/1.1\r\n${host}content-length: +3\r\n\r\nabc`,
         status: 400,
         outcome: "not-run",
@@ -77,7 +81,7 @@
     },
     { name: "CONNECT", text: `CONNECT x:80 HTTP/1.1\r\n${host}\r\n`, status: 501, outcome: "not-run" },
     {
-        name: "another expectation",
+        name: "an unsupported expectation",
         text: `POST /issue HTTP/1.1\r\n${closing}expect: miracle\r\ncontent-length: 0\r\n\r\n`,
         status: 417,
         outcome: "not-run",
@@ -101,7 +105,7 @@
 describe("a caller that sends", () => {
     rawCases.forEach(({ name, text, status, outcome }) => {
         test(name, async () => {
-            const received = await exchange(
+            const received = await sendRaw(
                 system.callersPort,
                 text,
                 seen => /\r\n\r\n[^]*\}$/.test(seen) && !seen.endsWith("Continue\r\n\r\n"),
@@ -112,9 +116,9 @@
     });
 });
 
-test("a bad chunk in a streamed body reaches no upstream as a whole request", async () => {
+test("a streamed body with an invalid chunk reaches no upstream as a complete request", async () => {
     const before = system.upstreams[0]!.started;
-    const received = await exchange(
+    const received = await sendRaw(
         system.callersPort,
         `PUT /upload HTTP/1.1\r\n${host}transfer-encoding: chunked\r\n\r\n3\r\nabc\r\nzz\r\n`,
     );
@@ -125,24 +129,24 @@
 
 test("HEAD has no body and keeps the connection usable", async () => {
     const text = `HEAD /read/x HTTP/1.1\r\n${host}\r\nGET /read/second HTTP/1.1\r\n${closing}\r\n`;
-    const received = await exchange(system.callersPort, text);
+    const received = await sendRaw(system.callersPort, text);
     assert.equal(received.match(/HTTP\/1.1 200/g)?.length, 2);
     assert.equal(received.match(/"path":"\/read\/second"/g)?.length, 1);
 });
 
 const inFlight = (): number => system.daemon.instance.services.all().reduce((sum, runtime) => sum + runtime.tracker.inFlight, 0);
 
-interface LeavingCase {
+interface DisconnectCase {
     readonly name: string;
     readonly text: string;
-    /** Whether the upstream runs the request to its end although the caller has left. */
+    /** Whether the upstream completes the request although the caller has disconnected. */
     readonly runs: boolean;
 }
 
-const leavingCases: readonly LeavingCase[] = [
-    { name: "in the head", text: "GET /read/x HTTP/1.1\r\nho", runs: false },
-    { name: "in a kept body", text: `POST /issue HTTP/1.1\r\n${host}content-length: 10\r\n\r\nabc`, runs: false },
-    { name: "in a streamed body", text: `PUT /upload HTTP/1.1\r\n${host}content-length: 100000\r\n\r\nabc`, runs: false },
+const disconnectCases: readonly DisconnectCase[] = [
+    { name: "during the header", text: "GET /read/x HTTP/1.1\r\nho", runs: false },
+    { name: "during a buffered body", text: `POST /issue HTTP/1.1\r\n${host}content-length: 10\r\n\r\nabc`, runs: false },
+    { name: "during a streamed body", text: `PUT /upload HTTP/1.1\r\n${host}content-length: 100000\r\n\r\nabc`, runs: false },
     { name: "while a read is served", text: `GET /read/x HTTP/1.1\r\n${host}\r\n`, runs: false },
     {
         name: "while an issue is served",
@@ -151,16 +155,19 @@
     },
 ];
 
-/** Service that takes far longer than a caller takes to leave. */
-const leftServiceMs = 2000;
+/** Service time that is much longer than a disconnect takes, in milliseconds. */
+const disconnectServiceMs = 2000;
 
-describe("a caller that leaves", () => {
-    leavingCases.forEach(({ name, text, runs }) => {
+describe("a caller that disconnects", () => {
+    disconnectCases.forEach(({ name, text, runs }) => {
         test(name, async () => {
             const cancelledBefore = system.upstreams[0]!.cancelled;
             const startedBefore = system.upstreams[0]!.started;
-            // A read that ends while this process waits for a processor would be served before its caller leaves.
-            system.upstreams[0]!.behaviour = { ...system.upstreams[0]!.behaviour, meanServiceMs: runs ? 40 : leftServiceMs };
+            // A short service time could end before the caller disconnects.
+            system.upstreams[0]!.behaviour = {
+                ...system.upstreams[0]!.behaviour,
+                meanServiceMs: runs ? 40 : disconnectServiceMs,
+            };
             const socket = openCaller(system.callersPort, text);
             if (name.startsWith("while")) {
                 await waitUntil(() => system.upstreams[0]!.started > startedBefore);
@@ -185,7 +192,7 @@
     });
 });
 
-test("an answer after the deadline goes nowhere: the next request on the connection gets its own", async () => {
+test("a response after the deadline is discarded, and the next request on the connection receives its own", async () => {
     const [upstream] = system.upstreams;
     const cancelledBefore = upstream!.cancelled;
     upstream!.behaviour = { ...upstream!.behaviour, hang: true };
@@ -204,7 +211,7 @@
     assert.doesNotMatch(received, /"path":"\/read\/late"/);
 });
 
-test("a large streamed body arrives whole at the upstream", async () => {
+test("a large streamed body arrives completely at the upstream", async () => {
     const body = Buffer.alloc(3_000_000, "x");
     const response = await fetch(`${system.url}/upload`, { method: "PUT", body });
     assert.equal((await response.json() as { bodyBytes: number; }).bodyBytes, body.length);
--- a/packages/standin/test/end-to-end.test.ts
+++ b/packages/standin/test/end-to-end.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against failures on the complete path of a request: response, problem, explanation and status.
+ */
+
 import { createClient } from "@connectrpc/connect";
 import { createConnectTransport } from "@connectrpc/connect-node";
 import { replay } from "@harrierhitch/command";
@@ -17,19 +21,19 @@
 const client = () =>
     createClient(OperatorService, createConnectTransport({ baseUrl: `http://${system.operators}`, httpVersion: "1.1" }));
 
-test("a request is answered by an upstream, explained, and replayed to the same choice", async () => {
+test("a request is answered by an upstream, explained, and replayed to the same decision", async () => {
     const response = await fetch(`${system.url}/read/seat-map`);
     assert.equal(response.status, 200);
-    const answered = (await response.json() as { readonly upstream: string; }).upstream;
+    const upstream = (await response.json() as { readonly upstream: string; }).upstream;
     const requestId = response.headers.get("x-harrierhitch-request-id") ?? "";
     const { explanation } = await client().explain({ requestId });
     assert.ok(explanation);
-    assert.equal(explanation.steps[0]?.upstream, answered);
+    assert.equal(explanation.steps[0]?.upstream, upstream);
     assert.equal(explanation.outcome, "ran");
     assert.deepEqual(replay(explanation).map(step => step.same), [true]);
 });
 
-test("a request without a route is answered with a problem that says not-run", async () => {
+test("a request without a route is answered with a problem whose outcome is not-run", async () => {
     const response = await fetch(`${system.url}/nowhere`);
     assert.equal(response.status, 404);
     assert.equal(response.headers.get("content-type"), "application/problem+json");
@@ -37,11 +41,11 @@
     assert.deepEqual([problem.type, problem.outcome], ["urn:harrierhitch:problem:no-route", "not-run"]);
 });
 
-test("the explanation of an unknown request is refused clearly", async () => {
+test("explaining an unknown request fails with an error that names the cause", async () => {
     await assert.rejects(client().explain({ requestId: "entry-1.0.0" }), /no record/);
 });
 
-test("the status names the generation in force and every upstream", async () => {
+test("the status contains the active generation and every upstream", async () => {
     const { instances } = await client().getStatus({});
     assert.equal(instances[0]?.generation, 1n);
     assert.deepEqual(instances[0].upstreams.map(upstream => upstream.facts?.id), ["main-1", "main-2", "main-3"]);
--- a/packages/standin/test/explained-facts.test.ts
+++ b/packages/standin/test/explained-facts.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against facts of a policy that an explanation omits, so that its decisions cannot be replayed.
+ */
+
 import { createClient } from "@connectrpc/connect";
 import { createConnectTransport } from "@connectrpc/connect-node";
 import { formatExplanation, replay } from "@harrierhitch/command";
@@ -6,7 +10,7 @@
 import { after, before, test } from "node:test";
 import { startSystem, type System } from "./system.js";
 
-/** A policy that holds for a while and then refuses, by every fact that says how urgent a request is and what room there is. */
+/** A policy that holds a request and then refuses it, by every fact about its urgency and the headroom of the service. */
 const configuration = `
 [kind.room]
 repeatable = true
@@ -32,7 +36,7 @@
 
 after(() => system.stop());
 
-test("what held a request back and then refused it is explained, and replayed to the same decisions", async () => {
+test("a request that was held and then refused is explained, and replayed to the same decisions", async () => {
     const response = await fetch(`${system.url}/room`);
     assert.equal(response.status, 503);
     const requestId = response.headers.get("x-harrierhitch-request-id") ?? "";
@@ -43,7 +47,7 @@
     const { explanation } = await client.explain({ requestId });
     assert.ok(explanation);
     assert.deepEqual([explanation.steps[0]?.action, explanation.steps.at(-1)?.action], ["hold", "refuse"]);
-    assert.ok(replay(explanation).every(({ same }) => same), "some decision replays to another");
+    assert.ok(replay(explanation).every(({ same }) => same), "a replayed decision differs");
     assert.ok(explanation.steps.every(({ isTrial }) => !isTrial));
     const text = formatExplanation(explanation, "entry-1");
     assert.match(text, /with room for 2\.00/);
--- a/packages/standin/test/fleet-system.test.ts
+++ b/packages/standin/test/fleet-system.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against instances that do not share explanations and drains, or abort requests on a planned stop.
+ */
+
 import { createClient } from "@connectrpc/connect";
 import { createConnectTransport } from "@connectrpc/connect-node";
 import type { Daemon, DaemonPorts } from "@harrierhitch/daemon";
@@ -6,7 +10,7 @@
 import { after, before, describe, test } from "node:test";
 import { startDaemon, startSystem, type System, waitUntil } from "./system.js";
 
-/** Three entry instances on real sockets; the first belongs to the system. */
+/** Three entry instances; the first one is part of the system. */
 let system: System;
 let daemons: Daemon[];
 let ports: DaemonPorts[];
@@ -39,7 +43,7 @@
     return response.status;
 };
 
-test("an explanation is found from any instance, and a gone decider is named", async () => {
+test("any instance returns an explanation, and the error for a missing one names the deciding instance", async () => {
     const response = await fetch(`http://127.0.0.1:${ports[0]!.callers}/read/x`);
     await response.text();
     const requestId = response.headers.get("x-harrierhitch-request-id") ?? "";
@@ -57,7 +61,7 @@
     assert.deepEqual(instances.map(instance => instance.instance).sort(), ["entry-1", "entry-2", "entry-3"]);
 });
 
-test("a drain that one instance sees reaches the others while the platform is down, and none sends new work there", async () => {
+test("a drain that one instance observes reaches the others while the platform is down, and none sends new requests there", async () => {
     system.platform.behaviour = { failStatus: 500 };
     system.upstreams[0]!.behaviour = { ...system.upstreams[0]!.behaviour, draining: true };
     const stateAt = (daemon: Daemon) => daemon.instance.services.all()[0]!.tracker.facts()[0]!.state;
@@ -66,16 +70,16 @@
     }
     await waitUntil(() => daemons.every(daemon => stateAt(daemon) === "draining"));
     const arrivedBefore = system.upstreams[0]!.arrived;
-    const answers = await Promise.all(
+    const responses = await Promise.all(
         Array.from({ length: 9 }, (_, number) => fetch(`http://127.0.0.1:${ports[number % 3]!.callers}/read/x`)),
     );
-    assert.ok(answers.every(answer => answer.status === 200));
+    assert.ok(responses.every(answer => answer.status === 200));
     assert.equal(system.upstreams[0]!.arrived, arrivedBefore);
     system.platform.behaviour = {};
 });
 
 describe("a planned stop", () => {
-    test("cuts off nothing in flight, and turns readiness off at once", async () => {
+    test("completes all requests in flight, and ends readiness immediately", async () => {
         system.upstreams[1]!.behaviour = { ...system.upstreams[1]!.behaviour, meanServiceMs: 300 };
         const inFlight = Promise.all(Array.from({ length: 6 }, () => issue(2)));
         await waitUntil(() => daemons[1]!.instance.services.all()[0]!.tracker.inFlight === 6);
--- a/packages/standin/test/interleaved.test.ts
+++ b/packages/standin/test/interleaved.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against responses that are delivered to the wrong request, and against requests that run twice.
+ */
+
 import { SeededRandom } from "@harrierhitch/core";
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -7,7 +11,7 @@
 const total = 10_000;
 const workers = 64;
 
-test("of 10,000 interleaved requests none gets another's answer and none runs twice", async () => {
+test("of 10,000 interleaved requests none receives another one's response and none runs twice", async () => {
     const system = await startSystem({
         upstreams: [{ slots: 16, queue: 500 }, { slots: 16, queue: 500 }, { slots: 16, queue: 500 }],
     });
@@ -17,7 +21,7 @@
     const random = new SeededRandom(7);
     let next = 0;
     const outcomes = new Map<string, number>();
-    const work = async (): Promise<void> => {
+    const runWorker = async (): Promise<void> => {
         while (next < total) {
             const number = String(next++);
             const issue = Number(number) % 10 === 0;
@@ -27,11 +31,11 @@
                 headers: { "x-request-number": number, "x-request-timeout-ms": timeoutMs },
                 body: issue ? number : null,
             });
-            const answer = await response.body.json() as { readonly key?: string; readonly outcome?: string; };
-            const outcome = response.statusCode === 200 ? "ran" : answer.outcome ?? "none";
+            const body = await response.body.json() as { readonly key?: string; readonly outcome?: string; };
+            const outcome = response.statusCode === 200 ? "ran" : body.outcome ?? "none";
             outcomes.set(outcome, (outcomes.get(outcome) ?? 0) + 1);
             if (response.statusCode === 200) {
-                assert.equal(answer.key, number);
+                assert.equal(body.key, number);
             }
             else if (outcome === "not-run") {
                 assert.ok(system.upstreams.every(upstream => !upstream.runs.has(number)));
@@ -39,7 +43,7 @@
         }
     };
     try {
-        await Promise.all(Array.from({ length: workers }, work));
+        await Promise.all(Array.from({ length: workers }, runWorker));
         assert.equal([...outcomes.values()].reduce((sum, count) => sum + count, 0), total);
         assert.ok((outcomes.get("ran") ?? 0) > total * 0.9);
         const issueRuns = system.upstreams.flatMap(upstream => [...upstream.runs]).filter(([key]) => Number(key) % 10 === 0);
--- a/packages/standin/test/limit-status.test.ts
+++ b/packages/standin/test/limit-status.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against rate limits of upstreams that operators cannot see in the status and in explanations.
+ */
+
 import { createClient } from "@connectrpc/connect";
 import { createConnectTransport } from "@connectrpc/connect-node";
 import { formatExplanation, replay } from "@harrierhitch/command";
@@ -14,13 +18,13 @@
 
 after(() => system.stop());
 
-test("operators see who is limited to what, by whose word and since when, and why a caller was turned away", async () => {
+test("the status names an upstream's rate limit, who received it and since when, and the explanation why a caller was rejected", async () => {
     const read = () => fetch(`${system.url}/read/1`);
     assert.equal((await read()).status, 200);
-    const refused = await read();
-    assert.equal(refused.status, 503);
-    assert.equal(refused.headers.get("x-request-outcome"), "not-run");
-    assert.ok(Number(refused.headers.get("retry-after")) > 0);
+    const rejected = await read();
+    assert.equal(rejected.status, 503);
+    assert.equal(rejected.headers.get("x-request-outcome"), "not-run");
+    assert.ok(Number(rejected.headers.get("retry-after")) > 0);
     const client = createClient(
         OperatorService,
         createConnectTransport({ baseUrl: `http://${system.operators}`, httpVersion: "1.1" }),
@@ -30,9 +34,9 @@
         instances[0]?.upstreams[0]?.why ?? "",
         /^takes 0\.001 a second from all instances, by its word to \S+, since \d{4}-/,
     );
-    const { explanation } = await client.explain({ requestId: refused.headers.get("x-harrierhitch-request-id") ?? "" });
+    const { explanation } = await client.explain({ requestId: rejected.headers.get("x-harrierhitch-request-id") ?? "" });
     assert.ok(explanation);
     assert.equal(explanation.steps.at(-1)?.candidates[0]?.excluded, "limited");
-    assert.ok(replay(explanation).every(({ same }) => same), "some decision replays to another");
+    assert.ok(replay(explanation).every(({ same }) => same), "a replayed decision differs");
     assert.match(formatExplanation(explanation, "entry-1"), /0\.001 a second, in /);
 });
--- a/packages/standin/test/operators-tls.test.ts
+++ b/packages/standin/test/operators-tls.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against unauthorised access to the ports for operators and peers, and against a restart for new certificates.
+ */
+
 import { create } from "@bufbuild/protobuf";
 import { createClient } from "@connectrpc/connect";
 import { createConnectTransport } from "@connectrpc/connect-node";
@@ -53,23 +57,23 @@
 const exchange = (name: string | undefined, fleet = "test") =>
     createClient(PeerService, transport(ports.peers, name)).exchange(create(ExchangeRequestSchema, { fleet }));
 
-test("a holder of a credential is admitted on both sides", async () => {
+test("the operators' and the peers' port admit clients with a valid certificate", async () => {
     const status = await createClient(OperatorService, transport(ports.operators, "operator")).getStatus({ localOnly: true });
     assert.equal(status.instances[0]?.instance, "entry-1");
     assert.equal((await exchange("instance")).sender?.instance, "entry-1");
 });
 
-describe("refused between instances, and counted, is", () => {
+describe("the peers' port refuses and counts", () => {
     [
-        { name: "a stranger", call: () => exchange("stranger") },
+        { name: "a certificate of another authority", call: () => exchange("stranger") },
         { name: "an expired certificate", call: () => exchange("expired") },
         { name: "no certificate", call: () => exchange(undefined) },
         { name: "another fleet", call: () => exchange("instance", "other") },
     ].forEach(({ name, call }) => {
         test(name, async () => {
-            const before = await refused();
+            const before = await refusedPeers();
             await assert.rejects(call());
-            await waitUntil(async () => await refused() > before);
+            await waitUntil(async () => await refusedPeers() > before);
         });
     });
 
@@ -80,12 +84,12 @@
     });
 });
 
-const refused = async (): Promise<number> => {
+const refusedPeers = async (): Promise<number> => {
     const metrics = await daemon.metricsText();
     return Number(/^harrierhitch_peers_refused_total (\d+)/m.exec(metrics)?.[1] ?? 0);
 };
 
-test("a new certificate is taken over without a restart", async () => {
+test("a new certificate is used without a restart", async () => {
     copyFileSync(certificate("stranger.pem"), join(directory, "instance.pem"));
     copyFileSync(certificate("stranger.key"), join(directory, "instance.key"));
     await waitUntil(async () => {
--- a/packages/standin/test/pipelined-callers.test.ts
+++ b/packages/standin/test/pipelined-callers.test.ts
@@ -1,6 +1,10 @@
+/**
+ * Guards against pipelined requests that are answered out of order or run although their caller sends them again.
+ */
+
 import assert from "node:assert/strict";
 import { after, before, describe, test } from "node:test";
-import { exchange, openCaller } from "./raw-caller.js";
+import { openCaller, sendRaw } from "./raw-caller.js";
 import { startSystem, type System, waitUntil } from "./system.js";
 
 const host = "host: x\r\n";
@@ -11,7 +15,7 @@
 const start = (settings: string): Promise<System> =>
     startSystem({ upstreams: [{ meanServiceMs: 40 }], settings: `[limits]\n${settings}` });
 
-describe("a caller that sends before it was answered", () => {
+describe("a caller that pipelines requests", () => {
     let system: System;
 
     before(async () => {
@@ -20,8 +24,8 @@
 
     after(() => system.stop());
 
-    test("gets the answers in its own order", async () => {
-        const received = await exchange(
+    test("receives the responses in the order of its requests", async () => {
+        const received = await sendRaw(
             system.callersPort,
             ["a", "b", "c"].map(path => read(path)).join("") + read("d", closing),
         );
@@ -29,7 +33,7 @@
         assert.deepEqual(paths, ["a", "b", "c", "d"]);
     });
 
-    test("has its reads worked on at the same time", async () => {
+    test("has its reads processed concurrently", async () => {
         const [upstream] = system.upstreams;
         const { arrived, cancelled } = upstream!;
         upstream!.behaviour = { ...upstream!.behaviour, hang: true };
@@ -40,7 +44,7 @@
         await waitUntil(() => upstream!.cancelled - cancelled === 2);
     });
 
-    test("has none of its reads worked on once it has left", async () => {
+    test("has all of its reads cancelled when it disconnects", async () => {
         const [upstream] = system.upstreams;
         const { arrived, cancelled } = upstream!;
         upstream!.behaviour = { ...upstream!.behaviour, hang: true };
@@ -51,7 +55,7 @@
         upstream!.behaviour = { ...upstream!.behaviour, hang: false };
     });
 
-    test("has an issue begun only when everything before it is answered", async () => {
+    test("has a non-repeatable request started only when all requests before it are answered", async () => {
         const [upstream] = system.upstreams;
         const arrivedBefore = upstream!.arrived;
         upstream!.behaviour = { ...upstream!.behaviour, hang: true };
@@ -64,7 +68,7 @@
     });
 });
 
-test("an issue behind an answer that closes the connection never runs, since its caller sends it again", async () => {
+test("a non-repeatable request behind a response that closes the connection never runs, since its caller sends it again", async () => {
     const system = await start("stopDelayMs = 300\nstopTimeoutMs = 1000\n");
     let received = "";
     const socket = openCaller(system.callersPort, read("before"));
--- a/packages/standin/test/platform-faults.test.ts
+++ b/packages/standin/test/platform-faults.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against faults of the platform that interrupt the traffic or replace a valid configuration.
+ */
+
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import { PlatformStandin } from "../src/index.js";
@@ -29,21 +33,21 @@
         begin: ({ platform, document }) =>
             platform.publish("configuration", document(0).replace("generation = 0", "generation = 1\n; other")),
     },
-    { name: "answers nothing for the key", begin: ({ platform }) => void (platform.behaviour = { failStatus: 404 }) },
+    { name: "does not find the key", begin: ({ platform }) => void (platform.behaviour = { failStatus: 404 }) },
 ];
 
-const ask = async (system: System): Promise<number> => (await fetch(`${system.url}/read/x`)).status;
+const sendRead = async (system: System): Promise<number> => (await fetch(`${system.url}/read/x`)).status;
 
 describe("while the platform", () => {
     faults.forEach(({ name, begin }) => {
-        test(`${name}, traffic goes on under the last accepted configuration`, async () => {
+        test(`${name}, requests are served under the last accepted configuration`, async () => {
             const system = await startSystem({ upstreams: [{}] });
             try {
                 system.platform.publish("configuration", system.document(5));
                 await waitUntil(() => system.daemon.instance.generation === 5);
                 await begin(system);
                 await new Promise(resolve => setTimeout(resolve, 100));
-                assert.equal(await ask(system), 200);
+                assert.equal(await sendRead(system), 200);
                 assert.equal(system.daemon.instance.generation, 5);
             }
             finally {
@@ -53,25 +57,25 @@
     });
 });
 
-test("an instance that starts while the platform is down says not-run, and serves once it is up", async () => {
+test("an instance that starts while the platform is down answers not-run, and serves when the platform is available", async () => {
     const platform = new PlatformStandin();
     const port = await platform.listen();
     await platform.close();
     const daemon = startDaemon(port, "");
     const { callers, operators } = await daemon.start();
-    const refused = await fetch(`http://127.0.0.1:${callers}/read/x`);
-    assert.deepEqual([refused.status, refused.headers.get("x-request-outcome"), refused.headers.get("retry-after")], [
+    const rejected = await fetch(`http://127.0.0.1:${callers}/read/x`);
+    assert.deepEqual([rejected.status, rejected.headers.get("x-request-outcome"), rejected.headers.get("retry-after")], [
         503,
         "not-run",
         "1",
     ]);
     assert.equal((await fetch(`http://127.0.0.1:${operators}/readyz`)).status, 503);
     const system = await startSystem({ upstreams: [{}] });
-    const late = new PlatformStandin();
-    late.publish("configuration", system.document(1));
-    late.publish("instances", "revision = 1\n");
-    await late.listen(port);
+    const recoveredPlatform = new PlatformStandin();
+    recoveredPlatform.publish("configuration", system.document(1));
+    recoveredPlatform.publish("instances", "revision = 1\n");
+    await recoveredPlatform.listen(port);
     await waitUntil(async () => (await fetch(`http://127.0.0.1:${operators}/readyz`)).status === 200);
     assert.equal((await fetch(`http://127.0.0.1:${callers}/read/x`)).status, 200);
-    await Promise.all([daemon.stop(), late.close(), system.stop()]);
+    await Promise.all([daemon.stop(), recoveredPlatform.close(), system.stop()]);
 });
--- a/packages/standin/test/raw-caller.ts
+++ b/packages/standin/test/raw-caller.ts
@@ -1,11 +1,11 @@
 /**
- * A caller that sends bytes as a test says.
+ * A caller that sends raw bytes over TCP.
  */
 
 import { connect, type Socket } from "node:net";
 
-/** Sends text and gives everything that comes back until the other side closes or `enough` says so. */
-export const exchange = (port: number, text: string, enough: (received: string) => boolean = () => false): Promise<string> =>
+/** Sends text and returns everything received until the other side closes the connection or `isComplete` returns true. */
+export const sendRaw = (port: number, text: string, isComplete: (received: string) => boolean = () => false): Promise<string> =>
     new Promise((resolve, reject) => {
         let received = "";
         const socket = connect(port, "127.0.0.1", () => socket.write(text));
@@ -13,13 +13,13 @@
         socket.on("close", () => resolve(received));
         socket.on("data", data => {
             received += data.toString("latin1");
-            if (enough(received)) {
+            if (isComplete(received)) {
                 socket.destroy();
             }
         });
     });
 
-/** Opens a connection and sends text on it. */
+/** Opens a connection, sends text on it and leaves it open. */
 export const openCaller = (port: number, text: string): Socket => {
     const socket = connect(port, "127.0.0.1", () => socket.write(text));
     socket.on("error", () => undefined);
--- a/packages/standin/test/rolling-restart.test.ts
+++ b/packages/standin/test/rolling-restart.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against a rolling restart of the fleet that aborts or repeats requests, or reverts the configuration.
+ */
+
 import type { Daemon, DaemonPorts } from "@harrierhitch/daemon";
 import assert from "node:assert/strict";
 import { after, test } from "node:test";
@@ -5,7 +9,7 @@
 
 const settings = "[limits]\nstopDelayMs = 300\nstopTimeoutMs = 5000\n";
 
-test("while all instances are replaced in turn under load, nothing is cut off, doubled or set back", async () => {
+test("while all instances are replaced one by one under load, no request is aborted or repeated and no generation reverts", async () => {
     const system = await startSystem({ upstreams: [{ meanServiceMs: 5 }, { meanServiceMs: 5 }, { meanServiceMs: 5 }], settings });
     const running = new Map<number, { readonly daemon: Daemon; readonly ports: DaemonPorts; }>([[1, {
         daemon: system.daemon,
@@ -24,15 +28,15 @@
     await start(2);
     await start(3);
     after(async () => {
-        isOver = true;
+        isStopped = true;
         await Promise.all([...running.values()].map(entry => entry.daemon.stop()));
         await system.stop();
     });
-    const answers: { readonly status: number; readonly outcome: string | null; }[] = [];
+    const responses: { readonly status: number; readonly outcome: string | null; }[] = [];
     const failures: unknown[] = [];
-    let isOver = false;
+    let isStopped = false;
     const call = async (worker: number): Promise<void> => {
-        for (let count = 0; !isOver; count += 1) {
+        for (let count = 0; !isStopped; count += 1) {
             const ready = [...running.values()].filter(entry => entry.daemon.instance.stage === "serving");
             const { ports } = ready[(worker + count) % ready.length]!;
             const key = `replace-${worker}-${count}`;
@@ -43,7 +47,7 @@
                     body: key,
                 });
                 await response.text();
-                answers.push({ status: response.status, outcome: response.headers.get("x-request-outcome") });
+                responses.push({ status: response.status, outcome: response.headers.get("x-request-outcome") });
             }
             catch (error) {
                 failures.push(error);
@@ -62,15 +66,15 @@
         await start(number + 3);
         generations.push(running.get(number + 3)!.daemon.instance.generation!);
     }
-    isOver = true;
+    isStopped = true;
     await load;
     const runs = system.upstreams.flatMap(upstream => [...upstream.runs]);
     assert.deepEqual(failures, []);
     assert.equal(new Set(runs.map(([key]) => key)).size, runs.length);
     assert.ok(runs.every(([, count]) => count === 1));
     assert.deepEqual(generations, [2, 3, 4]);
-    assert.ok(answers.length > 50 && answers.every(answer => answer.outcome !== null));
-    const ran = answers.filter(answer => answer.outcome === "ran").length;
+    assert.ok(responses.length > 50 && responses.every(answer => answer.outcome !== null));
+    const ran = responses.filter(answer => answer.outcome === "ran").length;
     assert.equal(ran <= runs.length, true);
-    assert.ok(ran > answers.length * 0.9, `${ran} of ${answers.length} ran`);
+    assert.ok(ran > responses.length * 0.9, `${ran} of ${responses.length} ran`);
 });
--- a/packages/standin/test/scripted-upstream.ts
+++ b/packages/standin/test/scripted-upstream.ts
@@ -1,15 +1,15 @@
 /**
- * An upstream that answers byte by byte as a test says.
+ * An upstream that responds with raw bytes over TCP.
  */
 
 import { type AddressInfo, createServer, type Server, type Socket } from "node:net";
 
-/** What to do with a request that has arrived; `count` is its number from 1. */
+/** Handles data of a request; `count` is the number of chunks received so far. */
 export type Script = (socket: Socket, request: string, count: number) => void;
 
-/** A raw TCP server. */
+/** A TCP server that runs a script for each chunk received. */
 export class ScriptedUpstream {
-    /** Requests that have arrived. */
+    /** Chunks that have arrived; small requests arrive as one. */
     readonly requests: string[] = [];
     private readonly server: Server;
     private readonly sockets = new Set<Socket>();
--- a/packages/standin/test/soak-checker.test.ts
+++ b/packages/standin/test/soak-checker.test.ts
@@ -1,5 +1,5 @@
 /**
- * Each promise that a soak checks, with a planted break of it that has to be found, and what looks like one and is none.
+ * Guards against a soak that misses a violation or reports one that is none.
  */
 
 import assert from "node:assert/strict";
@@ -7,7 +7,7 @@
 import { type ObservedResponse, SoakChecker } from "../src/soak/soak-checker.js";
 import { noAnnouncement } from "../src/upstream-standin.js";
 
-const answer = (change: Partial<ObservedResponse> = {}): ObservedResponse => ({
+const observed = (change: Partial<ObservedResponse> = {}): ObservedResponse => ({
     number: "r1",
     method: "GET",
     entry: "entry-1",
@@ -22,154 +22,159 @@
 
 interface Case {
     readonly name: string;
-    readonly act: (judge: SoakChecker) => void;
-    /** How often upstreams ran the request. */
-    readonly runs?: number;
-    readonly broken: readonly string[];
+    readonly observe: (checker: SoakChecker) => void;
+    /** How often upstreams have run the request. */
+    readonly runCount?: number;
+    readonly violations: readonly string[];
 }
 
-const here = { name: "entry-1", incarnation: 1 };
-const arrivals = (judge: SoakChecker, count: number, atMs: number, entry = here): void =>
-    Array.from({ length: count }).forEach(() => judge.recordArrival("u1", entry, atMs, noAnnouncement));
+const firstEntry = { name: "entry-1", incarnation: 1 };
+const recordArrivals = (checker: SoakChecker, count: number, atMs: number, entry = firstEntry): void =>
+    Array.from({ length: count }).forEach(() => checker.recordArrival("u1", entry, atMs, noAnnouncement));
 
-/** An upstream that takes one a second tells two instances, and later gets some requests from them. */
-const limited = (judge: SoakChecker, count: number, atMs: number): void => {
-    const asks = { ...noAnnouncement, limitPerSecond: 1 };
-    const there = { name: "entry-2", incarnation: 1 };
-    [here, there].forEach(entry => judge.recordArrival("u1", entry, 0, asks));
-    Array.from({ length: 30 }).forEach(() => judge.recordArrival("u1", here, 1000, asks));
+/** Announces a limit of one request per second to two instances, and later records `count` requests from them. */
+const exceedLimit = (checker: SoakChecker, count: number, atMs: number): void => {
+    const announced = { ...noAnnouncement, limitPerSecond: 1 };
+    const secondEntry = { name: "entry-2", incarnation: 1 };
+    [firstEntry, secondEntry].forEach(entry => checker.recordArrival("u1", entry, 0, announced));
+    Array.from({ length: 30 }).forEach(() => checker.recordArrival("u1", firstEntry, 1000, announced));
     Array.from({ length: count }).forEach((_, index) =>
-        judge.recordArrival("u1", index % 2 === 0 ? here : there, atMs + 100 * index, asks)
+        checker.recordArrival("u1", index % 2 === 0 ? firstEntry : secondEntry, atMs + 100 * index, announced)
     );
 };
 
 const cases: readonly Case[] = [
-    { name: "a whole answer", act: judge => judge.recordResponse(answer()), runs: 1, broken: [] },
+    { name: "a complete response", observe: checker => checker.recordResponse(observed()), runCount: 1, violations: [] },
     {
-        name: "another request's answer",
-        act: judge => judge.recordResponse(answer({ isCorrect: false })),
-        runs: 1,
-        broken: ["whole"],
+        name: "the response to another request",
+        observe: checker => checker.recordResponse(observed({ isCorrect: false })),
+        runCount: 1,
+        violations: ["whole"],
     },
     {
-        name: "an issue that ran twice",
-        act: judge => judge.recordResponse(answer({ method: "POST" })),
-        runs: 2,
-        broken: ["once"],
+        name: "a non-repeatable request that ran twice",
+        observe: checker => checker.recordResponse(observed({ method: "POST" })),
+        runCount: 2,
+        violations: ["once"],
     },
-    { name: "a read that ran twice", act: judge => judge.recordResponse(answer()), runs: 2, broken: [] },
     {
-        name: "a not-run that ran",
-        act: judge => judge.recordResponse(answer({ status: 503, outcome: "not-run" })),
-        runs: 1,
-        broken: ["not-run"],
+        name: "a repeatable request that ran twice",
+        observe: checker => checker.recordResponse(observed()),
+        runCount: 2,
+        violations: [],
     },
     {
-        name: "a true not-run",
-        act: judge => judge.recordResponse(answer({ status: 503, outcome: "not-run" })),
-        runs: 0,
-        broken: [],
+        name: "a request that was answered not-run but ran",
+        observe: checker => checker.recordResponse(observed({ status: 503, outcome: "not-run" })),
+        runCount: 1,
+        violations: ["not-run"],
     },
     {
-        name: "a request that a planned stop cut off",
-        act: judge => judge.recordResponse(answer({ status: undefined, duringPlannedStop: true })),
-        runs: 1,
-        broken: ["stop"],
+        name: "a request that was answered not-run and did not run",
+        observe: checker => checker.recordResponse(observed({ status: 503, outcome: "not-run" })),
+        runCount: 0,
+        violations: [],
+    },
+    {
+        name: "a request that was aborted by a planned stop",
+        observe: checker => checker.recordResponse(observed({ status: undefined, duringPlannedStop: true })),
+        runCount: 1,
+        violations: ["stop"],
     },
     {
         name: "a connection that was closed before its request was read",
-        act: judge => judge.recordResponse(answer({ status: undefined, duringPlannedStop: true })),
-        runs: 0,
-        broken: [],
+        observe: checker => checker.recordResponse(observed({ status: undefined, duringPlannedStop: true })),
+        runCount: 0,
+        violations: [],
     },
     {
-        name: "an answer that never came",
-        act: judge => judge.recordResponse(answer({ durationMs: 9000 })),
-        runs: 1,
-        broken: ["answered"],
+        name: "a response that exceeds the time limit",
+        observe: checker => checker.recordResponse(observed({ durationMs: 9000 })),
+        runCount: 1,
+        violations: ["answered"],
     },
     {
-        name: "a third request to a resting upstream",
-        act: judge => {
-            judge.recordArrival("u1", here, 0, { ...noAnnouncement, backoffMs: 2000 });
-            arrivals(judge, 9, 400);
-            arrivals(judge, 3, 1000);
+        name: "a third request to an upstream during its backoff",
+        observe: checker => {
+            checker.recordArrival("u1", firstEntry, 0, { ...noAnnouncement, backoffMs: 2000 });
+            recordArrivals(checker, 9, 400);
+            recordArrivals(checker, 3, 1000);
         },
-        broken: ["rest"],
+        violations: ["rest"],
     },
     {
-        name: "requests on their way, two more, those of others, and those after the rest",
-        act: judge => {
-            judge.recordArrival("u1", here, 0, { ...noAnnouncement, backoffMs: 2000 });
-            arrivals(judge, 9, 500);
-            arrivals(judge, 2, 1000);
-            arrivals(judge, 9, 1000, { name: "entry-2", incarnation: 1 });
-            arrivals(judge, 9, 1000, { name: "entry-1", incarnation: 2 });
-            arrivals(judge, 9, 2000);
+        name: "requests in flight, two more, those of other instances, and those after the backoff",
+        observe: checker => {
+            checker.recordArrival("u1", firstEntry, 0, { ...noAnnouncement, backoffMs: 2000 });
+            recordArrivals(checker, 9, 500);
+            recordArrivals(checker, 2, 1000);
+            recordArrivals(checker, 9, 1000, { name: "entry-2", incarnation: 1 });
+            recordArrivals(checker, 9, 1000, { name: "entry-1", incarnation: 2 });
+            recordArrivals(checker, 9, 2000);
         },
-        broken: [],
+        violations: [],
     },
     {
-        name: "a request to an upstream that left",
-        act: judge => {
-            judge.recordArrival("u1", here, 0, { ...noAnnouncement, isDraining: true });
-            arrivals(judge, 1, 2000);
-            arrivals(judge, 1, 2001);
+        name: "a request to an upstream that has been draining for too long",
+        observe: checker => {
+            checker.recordArrival("u1", firstEntry, 0, { ...noAnnouncement, isDraining: true });
+            recordArrivals(checker, 1, 2000);
+            recordArrivals(checker, 1, 2001);
         },
-        broken: ["leaving"],
+        violations: ["leaving"],
     },
     {
-        name: "more requests than an upstream takes, summed over those that it told",
-        act: judge => limited(judge, 12, 2500),
-        broken: ["limit"],
+        name: "more requests than an announced limit allows, summed over the instances that received it",
+        observe: checker => exceedLimit(checker, 12, 2500),
+        violations: ["limit"],
     },
     {
-        name: "as many requests as are tolerated, what comes before all know, and what comes from those that were not told",
-        act: judge => {
-            limited(judge, 11, 2500);
-            arrivals(judge, 9, 5000, { name: "entry-9", incarnation: 1 });
+        name: "requests within the tolerance, before the limit has propagated, and from instances that have not received it",
+        observe: checker => {
+            exceedLimit(checker, 11, 2500);
+            recordArrivals(checker, 9, 5000, { name: "entry-9", incarnation: 1 });
         },
-        broken: [],
+        violations: [],
     },
     {
-        name: "a configuration that goes back",
-        act: judge => {
-            judge.recordGeneration("entry-1", 1, 5);
-            judge.recordGeneration("entry-1", 1, 4);
+        name: "a configuration generation that reverts",
+        observe: checker => {
+            checker.recordGeneration("entry-1", 1, 5);
+            checker.recordGeneration("entry-1", 1, 4);
         },
-        broken: ["configuration"],
+        violations: ["configuration"],
     },
     {
-        name: "an instance that has started again and knows less at first",
-        act: judge => {
-            judge.recordGeneration("entry-1", 1, 5);
-            judge.recordGeneration("entry-1", 2, 4);
+        name: "an instance that has restarted with an older generation",
+        observe: checker => {
+            checker.recordGeneration("entry-1", 1, 5);
+            checker.recordGeneration("entry-1", 2, 4);
         },
-        broken: [],
+        violations: [],
     },
     {
         name: "callers that are not served after the last fault",
-        act: judge => judge.recordRecovery([answer(), answer({ status: 503 })]),
-        broken: ["recovery"],
+        observe: checker => checker.recordRecovery([observed(), observed({ status: 503 })]),
+        violations: ["recovery"],
     },
 ];
 
-test("a soak counts its own stalls against nobody", () => {
-    const judge = new SoakChecker(7000, () => 800);
-    judge.recordArrival("u1", here, 0, { ...noAnnouncement, backoffMs: 3000 });
-    arrivals(judge, 9, 1200);
-    arrivals(judge, 2, 1400);
-    assert.deepEqual(judge.violations, []);
-    arrivals(judge, 1, 1400);
-    assert.equal(judge.violations.length, 1);
+test("stalls of the soak's own process are no violations", () => {
+    const checker = new SoakChecker(7000, () => 800);
+    checker.recordArrival("u1", firstEntry, 0, { ...noAnnouncement, backoffMs: 3000 });
+    recordArrivals(checker, 9, 1200);
+    recordArrivals(checker, 2, 1400);
+    assert.deepEqual(checker.violations, []);
+    recordArrivals(checker, 1, 1400);
+    assert.equal(checker.violations.length, 1);
 });
 
 describe("a soak finds", () => {
-    cases.forEach(({ name, act, runs = 0, broken }) => {
-        test(`${broken.length === 0 ? "nothing wrong with " : ""}${name}`, () => {
-            const judge = new SoakChecker(7000);
-            act(judge);
-            assert.deepEqual(judge.finish(() => runs).map(({ promise }) => promise), broken);
+    cases.forEach(({ name, observe, runCount = 0, violations }) => {
+        test(`${violations.length === 0 ? "nothing wrong with " : ""}${name}`, () => {
+            const checker = new SoakChecker(7000);
+            observe(checker);
+            assert.deepEqual(checker.finish(() => runCount).map(({ promise }) => promise), violations);
         });
     });
 });
--- a/packages/standin/test/soak.test.ts
+++ b/packages/standin/test/soak.test.ts
@@ -1,5 +1,5 @@
 /**
- * A short soak with a seed of its own; longer ones are started by hand (`npm run soak`).
+ * Guards against violations under overlapping faults, with a short soak; `npm run soak` runs longer ones.
  */
 
 import { SeededRandom } from "@harrierhitch/core";
@@ -11,13 +11,13 @@
 const seed = 1;
 const seconds = 10;
 
-test("three instances and four upstreams keep every promise under overlapping faults", async () => {
+test("three instances and four upstreams violate no guarantee under overlapping faults", async () => {
     const result = await runSoak({ seed, seconds, entries: 3, upstreams: 4, callers: 12, basePort: 23_000 });
     assert.deepEqual(result.violations, []);
     assert.ok(result.served > result.requests / 2, `${result.served} of ${result.requests} served`);
 });
 
-test("the same seed draws the same faults, and every kind in the end", () => {
+test("the same seed generates the same faults, and a long soak contains every kind", () => {
     assert.deepEqual(generateFaults(new SeededRandom(7), 60_000), generateFaults(new SeededRandom(7), 60_000));
     const kinds = new Set(generateFaults(new SeededRandom(7), 600_000).map(({ kind }) => kind));
     assert.deepEqual([...kinds].sort(), [...faultKinds].sort());
--- a/packages/standin/test/system.ts
+++ b/packages/standin/test/system.ts
@@ -1,20 +1,20 @@
 /**
- * A small system on real sockets: platform, upstreams and one daemon in this process.
+ * A system under test on real sockets: platform, upstreams and one daemon in this process.
  */
 
 import { checkSettings } from "@harrierhitch/configuration";
 import { Daemon, type DaemonPorts, EventLog } from "@harrierhitch/daemon";
 import { PlatformStandin, type UpstreamBehaviour, UpstreamStandin } from "../src/index.js";
 
-/** What a test wants of its system. */
+/** Options of {@link startSystem}. */
 export interface SystemOptions {
-    /** Behaviour of each upstream of the one service. */
+    /** Behaviour of each upstream of the service. */
     readonly upstreams: readonly Partial<UpstreamBehaviour>[];
-    /** Lines that join the section `[service.main]`. */
+    /** Lines that are added to the section `[service.main]`. */
     readonly service?: string;
-    /** Sections that join the configuration. */
+    /** Sections that are added to the configuration. */
     readonly configuration?: string;
-    /** Lines that join the settings. */
+    /** Lines that are added to the settings. */
     readonly settings?: string;
 }
 
@@ -28,7 +28,7 @@
     readonly platformPort: number;
     readonly platform: PlatformStandin;
     readonly upstreams: readonly UpstreamStandin[];
-    /** The published configuration under another generation. */
+    /** Returns the configuration with another generation and, if given, other ports of the upstreams. */
     readonly document: (generation: number, ports?: readonly number[]) => string;
     stop(): Promise<void>;
 }
@@ -65,7 +65,7 @@
     };
 };
 
-/** Makes a daemon that is quiet and stops fast. */
+/** Creates a daemon that logs nothing by default and stops quickly; the caller starts it. */
 export const startDaemon = (
     platformPort: number,
     settings: string,
@@ -143,15 +143,19 @@
 ${options.configuration ?? ""}
 `;
 
-/** Longest wait; a test that waits in vain fails instead of keeping its process alive. */
+/** Longest time that {@link waitUntil} waits, in milliseconds. */
 const maximumWaitMs = 20_000;
 
-/** Waits until a condition holds. */
+/**
+ * Waits until a condition holds.
+ *
+ * @throws RangeError if it does not hold in time.
+ */
 export const waitUntil = async (condition: () => boolean | Promise<boolean>): Promise<void> => {
     const deadlineMs = performance.now() + maximumWaitMs;
     while (!await condition()) {
         if (performance.now() > deadlineMs) {
-            throw new RangeError(`waited in vain for: ${condition.toString()}`);
+            throw new RangeError(`timed out waiting for: ${condition.toString()}`);
         }
         await new Promise(resolve => setTimeout(resolve, 5));
     }
--- a/packages/standin/test/traces.test.ts
+++ b/packages/standin/test/traces.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against traces that lose the connection between caller, instance and upstream.
+ */
+
 import assert from "node:assert/strict";
 import { createServer } from "node:http";
 import type { AddressInfo } from "node:net";
@@ -15,7 +19,7 @@
     readonly resourceSpans: readonly { readonly scopeSpans: readonly { readonly spans: readonly Span[]; }[]; }[];
 }
 
-test("a request leaves a span for each hop in its caller's trace, and the upstream is told its parent", async () => {
+test("a request exports a span for each step in its caller's trace, and the upstream receives its parent span", async () => {
     const spans: Span[] = [];
     const receiver = createServer((request, response) => {
         const chunks: Buffer[] = [];
--- a/packages/standin/test/upstream-faults.test.ts
+++ b/packages/standin/test/upstream-faults.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against broken responses of upstreams that reach a caller as complete, or repeat a non-repeatable request.
+ */
+
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import { type Script, ScriptedUpstream } from "./scripted-upstream.js";
@@ -10,31 +14,56 @@
 const okHead = "HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\n";
 const chunkedHead = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
 
-/** What a caller sees of an answer. */
-type Seen = { readonly status: number; readonly outcome: string | null; readonly body: string; };
+/** The response that a caller receives. */
+type CallerResponse = { readonly status: number; readonly outcome: string | null; readonly body: string; };
 
 interface Fault {
     readonly name: string;
     readonly script: Script;
-    /** What the caller of a read and of an issue sees. */
-    readonly read: Partial<Seen>;
-    readonly issue: Partial<Seen>;
-    /** How often an issue reached the upstream. */
+    /** Expected response to a repeatable request. */
+    readonly read: Partial<CallerResponse>;
+    /** Expected response to a non-repeatable request. */
+    readonly issue: Partial<CallerResponse>;
+    /** How often the non-repeatable request reached the upstream. */
     readonly issuesSent: number;
 }
 
 const unknown = { status: 502, outcome: "unknown" };
 const cutOff = { status: 200, body: "cut off" };
-const whole = { status: 200, outcome: "ran", body: "0123456789" };
+const complete = { status: 200, outcome: "ran", body: "0123456789" };
 
 const faults: readonly Fault[] = [
     { name: "closes before any byte", script: sendAndClose(""), read: unknown, issue: unknown, issuesSent: 1 },
     { name: "resets before any byte", script: sendAndReset(""), read: unknown, issue: unknown, issuesSent: 1 },
-    { name: "closes in the status line", script: sendAndClose("HTTP/1.1 20"), read: unknown, issue: unknown, issuesSent: 1 },
-    { name: "closes in the head", script: sendAndClose(okHead.slice(0, 30)), read: unknown, issue: unknown, issuesSent: 1 },
-    { name: "closes in a body with a length", script: sendAndClose(`${okHead}0123`), read: cutOff, issue: cutOff, issuesSent: 1 },
-    { name: "resets in a body with a length", script: sendAndReset(`${okHead}0123`), read: cutOff, issue: cutOff, issuesSent: 1 },
-    { name: "closes in a chunk", script: sendAndClose(`${chunkedHead}a\r\n0123`), read: cutOff, issue: cutOff, issuesSent: 1 },
+    { name: "closes during the status line", script: sendAndClose("HTTP/1.1 20"), read: unknown, issue: unknown, issuesSent: 1 },
+    {
+        name: "closes during the headers",
+        script: sendAndClose(okHead.slice(0, 30)),
+        read: unknown,
+        issue: unknown,
+        issuesSent: 1,
+    },
+    {
+        name: "closes during a body with a content length",
+        script: sendAndClose(`${okHead}0123`),
+        read: cutOff,
+        issue: cutOff,
+        issuesSent: 1,
+    },
+    {
+        name: "resets during a body with a content length",
+        script: sendAndReset(`${okHead}0123`),
+        read: cutOff,
+        issue: cutOff,
+        issuesSent: 1,
+    },
+    {
+        name: "closes during a chunk",
+        script: sendAndClose(`${chunkedHead}a\r\n0123`),
+        read: cutOff,
+        issue: cutOff,
+        issuesSent: 1,
+    },
     {
         name: "closes between chunks",
         script: sendAndClose(`${chunkedHead}4\r\n0123\r\n`),
@@ -42,55 +71,79 @@
         issue: cutOff,
         issuesSent: 1,
     },
-    { name: "sends a bad chunk", script: send(`${chunkedHead}4\r\n0123\r\nzz\r\n`), read: cutOff, issue: cutOff, issuesSent: 1 },
-    { name: "sends garbage", script: send("\u0001\u0002garbage\r\n\r\n"), read: unknown, issue: unknown, issuesSent: 1 },
     {
-        name: "sends both lengths",
+        name: "sends an invalid chunk",
+        script: send(`${chunkedHead}4\r\n0123\r\nzz\r\n`),
+        read: cutOff,
+        issue: cutOff,
+        issuesSent: 1,
+    },
+    {
+        name: "sends data that is not HTTP",
+        script: send("\u0001\u0002garbage\r\n\r\n"),
+        read: unknown,
+        issue: unknown,
+        issuesSent: 1,
+    },
+    {
+        name: "sends both a content length and a transfer encoding",
         script: send("HTTP/1.1 200 OK\r\ncontent-length: 3\r\ntransfer-encoding: chunked\r\n\r\n4\r\n0123\r\n0\r\n\r\n"),
         read: unknown,
         issue: unknown,
         issuesSent: 1,
     },
     {
-        name: "sends an endless head",
+        name: "sends headers over the limit",
         script: send(`HTTP/1.1 200 OK\r\nx: ${"y".repeat(100_000)}\r\n\r\n`),
         read: unknown,
         issue: unknown,
         issuesSent: 1,
     },
-    { name: "answers whole", script: send(`${okHead}0123456789`), read: whole, issue: whole, issuesSent: 1 },
-    { name: "answers whole and closes", script: sendAndClose(`${okHead}0123456789`), read: whole, issue: whole, issuesSent: 1 },
+    { name: "sends a complete response", script: send(`${okHead}0123456789`), read: complete, issue: complete, issuesSent: 1 },
     {
-        name: "answers until it closes",
+        name: "sends a complete response and closes",
+        script: sendAndClose(`${okHead}0123456789`),
+        read: complete,
+        issue: complete,
+        issuesSent: 1,
+    },
+    {
+        name: "sends a body that ends with the connection",
         script: sendAndClose("HTTP/1.1 200 OK\r\n\r\n0123456789"),
-        read: whole,
-        issue: whole,
+        read: complete,
+        issue: complete,
+        issuesSent: 1,
+    },
+    {
+        name: "sends more than it announced",
+        script: send(`${okHead}0123456789extra`),
+        read: complete,
+        issue: complete,
         issuesSent: 1,
     },
-    { name: "sends more than it announced", script: send(`${okHead}0123456789extra`), read: whole, issue: whole, issuesSent: 1 },
     {
         name: "sends 103 first",
         script: send(`HTTP/1.1 103 Early Hints\r\nlink: x\r\n\r\n${okHead}0123456789`),
-        read: whole,
-        issue: whole,
+        read: complete,
+        issue: complete,
         issuesSent: 1,
     },
     {
-        name: "sheds with evidence",
+        name: "sheds with the outcome not-run",
         script: send("HTTP/1.1 503 Busy\r\ncontent-length: 0\r\nx-request-outcome: not-run\r\n\r\n"),
         read: { status: 503, outcome: "not-run" },
         issue: { status: 503, outcome: "not-run" },
         issuesSent: 3,
     },
     {
-        name: "answers 503 without evidence",
+        name: "answers 503 without an outcome",
         script: send("HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n"),
         read: { status: 503, outcome: "unknown" },
         issue: { status: 503, outcome: "unknown" },
         issuesSent: 1,
     },
     {
-        name: "is a balancer that answers 504 unknown",
+        name: "answers 504 with the outcome unknown",
         script: send("HTTP/1.1 504 Late\r\ncontent-length: 0\r\nx-request-outcome: unknown\r\n\r\n"),
         read: { status: 504, outcome: "unknown" },
         issue: { status: 504, outcome: "unknown" },
@@ -105,7 +158,7 @@
     },
 ];
 
-const ask = async (url: string, method: string): Promise<Seen> => {
+const sendRequest = async (url: string, method: string): Promise<CallerResponse> => {
     const response = await fetch(url, { method, ...(method === "POST" ? { body: "seat 4A" } : {}) });
     const body = await response.text().catch(() => "cut off");
     return { status: response.status, outcome: response.headers.get("x-request-outcome"), body };
@@ -114,23 +167,23 @@
 describe("an upstream that", () => {
     faults.forEach(fault => {
         test(fault.name, async () => {
-            const scripted = new ScriptedUpstream(fault.script);
+            const upstream = new ScriptedUpstream(fault.script);
             const system = await startSystem({ upstreams: [{}] });
             try {
-                system.platform.publish("configuration", system.document(2, [await scripted.listen()]));
+                system.platform.publish("configuration", system.document(2, [await upstream.listen()]));
                 await waitUntil(() => system.daemon.instance.generation === 2);
-                assertSeen(await ask(`${system.url}/issue`, "POST"), fault.issue);
-                assert.equal(scripted.requests.filter(text => text.startsWith("POST")).length, fault.issuesSent);
-                assertSeen(await ask(`${system.url}/read/x`, "GET"), fault.read);
+                assertResponse(await sendRequest(`${system.url}/issue`, "POST"), fault.issue);
+                assert.equal(upstream.requests.filter(text => text.startsWith("POST")).length, fault.issuesSent);
+                assertResponse(await sendRequest(`${system.url}/read/x`, "GET"), fault.read);
             }
             finally {
                 await system.stop();
-                await scripted.close();
+                await upstream.close();
             }
         });
     });
 });
 
-const assertSeen = (seen: Seen, expected: Partial<Seen>): void => {
-    assert.deepEqual({ ...seen, ...expected }, seen);
+const assertResponse = (actual: CallerResponse, expected: Partial<CallerResponse>): void => {
+    assert.deepEqual({ ...actual, ...expected }, actual);
 };
