--- a/packages/standin/src/bench.ts
+++ b/packages/standin/src/bench.ts
@@ -17,13 +17,14 @@
 import { loopbackSettings } from "./loopback-settings.js";
 
 const upstreamCount = 10;
+/** Number of rounds of the saturation test. */
 const rounds = 3;
 const roundSeconds = 3;
 const saturatingConnections = 64;
 const latencyRounds = 3;
 const upstreamProcesses = 2;
 
-/** Runs the whole benchmark and writes the report to standard output. */
+/** Runs the complete benchmark and writes the report to standard output. */
 export const runBench = async (): Promise<void> => {
     const directory = await mkdtemp(join(tmpdir(), "bench-"));
     const children: Child[] = [];
--- a/packages/standin/src/soak/fault-schedule.ts
+++ b/packages/standin/src/soak/fault-schedule.ts
@@ -6,7 +6,7 @@
 
 import type { RandomSource } from "@harrierhitch/core";
 
-/** Kinds of faults. */
+/** Kinds of faults; the `way-` faults affect the connections to an upstream. */
 export const faultKinds = [
     "pause",
     "kill",
--- a/packages/standin/src/soak/lag-monitor.ts
+++ b/packages/standin/src/soak/lag-monitor.ts
@@ -1,5 +1,5 @@
 /**
- * Measures stalls of this process, so that its own delays are not reported as violations.
+ * Measures stalls of this process, so that delays caused by it are not reported as violations.
  *
  * @packageDocumentation
  */
@@ -7,7 +7,7 @@
 /** Time between two checks of the clock, in milliseconds. */
 const checkIntervalMs = 20;
 
-/** Time for which a stall is retained, in milliseconds; longer than the backlog of a stall takes to be processed. */
+/** Time for which a stall is retained, in milliseconds; longer than the processing of its backlog. */
 const retentionMs = 3000;
 
 /** Measures the delay of a periodic timer. */
--- a/packages/standin/src/soak/limit-checker.ts
+++ b/packages/standin/src/soak/limit-checker.ts
@@ -69,10 +69,10 @@
         this.limits.delete(upstream);
     }
 
-    private check(upstream: string, limited: LimitState, atMs: number): void {
-        const { perSecond, sinceMs, arrivalsMs, isViolated } = limited;
+    private check(upstream: string, state: LimitState, atMs: number): void {
+        const { perSecond, sinceMs, arrivalsMs, isViolated } = state;
         if (!isViolated && atMs >= sinceMs + settleMs && arrivalsMs.length > maximumRequests(perSecond)) {
-            limited.isViolated = true;
+            state.isViolated = true;
             this.onViolation(
                 `${upstream} announced a limit of ${perSecond} requests per second and received ${arrivalsMs.length} requests in ${windowMs} ms`,
             );
--- a/packages/standin/src/soak/soak-callers.ts
+++ b/packages/standin/src/soak/soak-callers.ts
@@ -16,7 +16,7 @@
 const requestIntervalMs = 15;
 
 /** Share of the requests that are not repeatable. */
-const issueShare = 0.4;
+const nonRepeatableShare = 0.4;
 
 /** Options of {@link SoakCallers}. */
 export interface SoakCallersOptions {
@@ -60,7 +60,7 @@
         for (let number = index; !this.isStopping; number += 1) {
             // Each caller sends to one instance.
             const entry = entries[index % entries.length];
-            const method = random.next() < issueShare ? "POST" : "GET";
+            const method = random.next() < nonRepeatableShare ? "POST" : "GET";
             const response = entry === undefined ? undefined : await this.sendRequest(entry, method, agent);
             const waitMs = response?.status === undefined ? requestIntervalMs * 5 : requestIntervalMs;
             await new Promise(resolve => setTimeout(resolve, waitMs * (0.5 + random.next())));
--- a/packages/standin/src/soak/soak-checker.ts
+++ b/packages/standin/src/soak/soak-checker.ts
@@ -28,6 +28,7 @@
 
 /** A guarantee that was violated. */
 export interface Violation {
+    /** Name of the guarantee, which the result of a soak contains. */
     readonly promise:
         | "whole"
         | "once"
--- a/packages/standin/test/caller-faults.test.ts
+++ b/packages/standin/test/caller-faults.test.ts
@@ -147,9 +147,9 @@
     { name: "during the header", text: "GET /read/x HTTP/1.1\r\nho", runs: false },
     { name: "during a buffered body", text: `POST /issue HTTP/1.1\r\n${host}content-length: 10\r\n\r\nabc`, runs: false },
     { name: "during a streamed body", text: `PUT /upload HTTP/1.1\r\n${host}content-length: 100000\r\n\r\nabc`, runs: false },
-    { name: "while a read is served", text: `GET /read/x HTTP/1.1\r\n${host}\r\n`, runs: false },
+    { name: "while a repeatable request is served", text: `GET /read/x HTTP/1.1\r\n${host}\r\n`, runs: false },
     {
-        name: "while an issue is served",
+        name: "while a non-repeatable request is served",
         text: `POST /issue HTTP/1.1\r\n${host}idempotency-key: leave-1\r\ncontent-length: 3\r\n\r\nabc`,
         runs: true,
     },
--- a/packages/standin/test/quarantine.test.ts
+++ b/packages/standin/test/quarantine.test.ts
@@ -1,5 +1,5 @@
 /**
- * Guards against a request that crashes each upstream it is sent to, and is sent again until no upstream is left.
+ * Guards against a request that crashes each upstream it is sent to, and is repeated until all upstreams are down.
  */
 
 import type { Daemon, DaemonPorts } from "@harrierhitch/daemon";
--- a/packages/standin/test/soak-checker.test.ts
+++ b/packages/standin/test/soak-checker.test.ts
@@ -159,7 +159,7 @@
     },
 ];
 
-test("stalls of the soak's own process are no violations", () => {
+test("delays caused by stalls of the soak's process are not reported", () => {
     const checker = new SoakChecker(7000, () => 800);
     checker.recordArrival("u1", firstEntry, 0, { ...noAnnouncement, backoffMs: 3000 });
     recordArrivals(checker, 9, 1200);
