--- a/packages/standin/test/traces.test.ts
+++ b/packages/standin/test/traces.test.ts
@@ -1,8 +1,12 @@
+/**
+ * Guards against traces that lose the connection between caller, instance and upstream.
+ */
+
 import assert from "node:assert/strict";
 import { createServer } from "node:http";
 import type { AddressInfo } from "node:net";
 import { test } from "node:test";
-import { startSystem, until } from "./system.js";
+import { startSystem, waitUntil } from "./system.js";
 
 interface Span {
     readonly name: string;
@@ -15,7 +19,7 @@
     readonly resourceSpans: readonly { readonly scopeSpans: readonly { readonly spans: readonly Span[]; }[]; }[];
 }
 
-test("a request leaves a span for each hop in its caller's trace, and the upstream is told its parent", async () => {
+test("a request exports a span for each step in its caller's trace, and the upstream receives its parent span", async () => {
     const spans: Span[] = [];
     const receiver = createServer((request, response) => {
         const chunks: Buffer[] = [];
@@ -31,7 +35,7 @@
     const traceId = "0af7651916cd43dd8448eb211c80319c";
     const caller = "b7ad6b7169203331";
     await (await fetch(`${system.url}/read/x`, { headers: { traceparent: `00-${traceId}-${caller}-01` } })).text();
-    await until(() => spans.length >= 3);
+    await waitUntil(() => spans.length >= 3);
     await system.stop();
     receiver.close();
     assert.deepEqual(spans.map(span => span.name), ["accept read", "decide 1", "attempt main-1"]);
