--- a/packages/standin/src/soak/entry-process.ts
+++ b/packages/standin/src/soak/entry-process.ts
@@ -26,7 +26,7 @@
 /** Starts, pauses, stops and kills the process of an entry instance. */
 export class EntryProcess {
     state: EntryState = "down";
-    /** Number of the current run; incremented by each start and after each pause. The checker ignores what earlier runs received. */
+    /** Number of the run, incremented by each start and after each pause; the checker ignores what earlier runs received. */
     incarnation = 0;
     /** The incarnation of the last planned stop; still set after the process has exited, when its connections are closed. */
     stoppedIncarnation: number | undefined;
--- a/packages/standin/src/soak/limit-checker.ts
+++ b/packages/standin/src/soak/limit-checker.ts
@@ -74,7 +74,7 @@
         if (!isViolated && atMs >= sinceMs + settleMs && arrivalsMs.length > maximumRequests(perSecond)) {
             state.isViolated = true;
             this.onViolation(
-                `${upstream} announced a limit of ${perSecond} requests per second and received ${arrivalsMs.length} requests in ${windowMs} ms`,
+                `${upstream} announced a limit of ${perSecond}/s and received ${arrivalsMs.length} requests in ${windowMs} ms`,
             );
         }
     }
--- a/packages/standin/test/fleet-system.test.ts
+++ b/packages/standin/test/fleet-system.test.ts
@@ -61,7 +61,7 @@
     assert.deepEqual(instances.map(instance => instance.instance).sort(), ["entry-1", "entry-2", "entry-3"]);
 });
 
-test("a drain that one instance observes reaches the others while the platform is down, and none sends new requests there", async () => {
+test("a drain that one instance observes reaches the others while the platform is down and excludes the upstream", async () => {
     system.platform.behaviour = { failStatus: 500 };
     system.upstreams[0]!.behaviour = { ...system.upstreams[0]!.behaviour, draining: true };
     const stateAt = (daemon: Daemon) => daemon.instance.services.all()[0]!.tracker.facts()[0]!.state;
--- a/packages/standin/test/limit-status.test.ts
+++ b/packages/standin/test/limit-status.test.ts
@@ -18,7 +18,7 @@
 
 after(() => system.stop());
 
-test("the status names an upstream's rate limit, who received it and since when, and the explanation why a caller was rejected", async () => {
+test("the status shows an upstream's rate limit, who received it and when, and the explanation why a caller is rejected", async () => {
     const read = () => fetch(`${system.url}/read/1`);
     assert.equal((await read()).status, 200);
     const rejected = await read();
--- a/packages/standin/test/pipelined-callers.test.ts
+++ b/packages/standin/test/pipelined-callers.test.ts
@@ -68,7 +68,7 @@
     });
 });
 
-test("a non-repeatable request behind a response that closes the connection never runs, since its caller sends it again", async () => {
+test("a non-repeatable request behind a response that closes the connection never runs", async () => {
     const system = await start("stopDelayMs = 300\nstopTimeoutMs = 1000\n");
     let received = "";
     const socket = openCaller(system.callersPort, read("before"));
--- a/packages/standin/test/platform-faults.test.ts
+++ b/packages/standin/test/platform-faults.test.ts
@@ -57,7 +57,7 @@
     });
 });
 
-test("an instance that starts while the platform is down answers not-run, and serves when the platform is available", async () => {
+test("an instance that starts while the platform is down answers not-run, and serves once the platform is up", async () => {
     const platform = new PlatformStandin();
     const port = await platform.listen();
     await platform.close();
--- a/packages/standin/test/rolling-restart.test.ts
+++ b/packages/standin/test/rolling-restart.test.ts
@@ -9,7 +9,7 @@
 
 const settings = "[limits]\nstopDelayMs = 300\nstopTimeoutMs = 5000\n";
 
-test("while all instances are replaced one by one under load, no request is aborted or repeated and no generation reverts", async () => {
+test("while all instances are replaced under load, no request is aborted or repeated and no generation reverts", async () => {
     const system = await startSystem({ upstreams: [{ meanServiceMs: 5 }, { meanServiceMs: 5 }, { meanServiceMs: 5 }], settings });
     const running = new Map<number, { readonly daemon: Daemon; readonly ports: DaemonPorts; }>([[1, {
         daemon: system.daemon,
