--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -1,10 +1,10 @@
 import tsdoc from "eslint-plugin-tsdoc";
 import tseslint from "typescript-eslint";
 
-/** The packages in their order: each may import only those before it. */
+/** Packages in dependency order: each may import only packages listed before it. */
 const order = ["core", "policy", "configuration", "decision", "published", "protocol", "fleet", "daemon", "command", "standin"];
 
-/** Packages that stand beside each other although one comes first. */
+/** Further packages that a package must not import although they are listed before it. */
 const extraForbidden = { command: ["fleet", "daemon"], protocol: ["policy", "configuration", "decision", "published"] };
 
 const orderRules = order.map((name, index) => ({
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,7 +1,6 @@
 /**
- * Bundles the daemon for the users' platform into target/: one file, the compiled
- * code that V8 keeps of it, and a loader that uses both, so that a start neither
- * reads many files nor compiles them again.
+ * Bundles the daemon for the users' platform into target/, as one file and a loader. The loader also uses the V8 code cache,
+ * which platform/scripts/warm-up.mjs writes, so that a start reads few files and compiles little.
  */
 
 import { build } from "esbuild";
@@ -19,7 +18,7 @@
     target: "node20",
     minifySyntax: true,
     minifyWhitespace: true,
-    // Modules leave out what nobody uses; most libraries also ship them.
+    // Prefers ES modules, from which unused code can be removed.
     mainFields: ["module", "main"],
     legalComments: "none",
     sourcemap: false,
--- a/scripts/lazy-builtins.mjs
+++ b/scripts/lazy-builtins.mjs
@@ -1,7 +1,6 @@
 /**
- * Loads some of Node's own modules only when something uses them: libraries import them for functions that the daemon
- * does not use, or uses only after its start. HTTP/2 takes 24 ms of processor time at each start, cryptography 29 ms and
- * worker processes 7 ms of 333 ms (profiles of single starts), a quarter of a second of a small core.
+ * esbuild plugin that loads some built-in modules of Node on first use. Libraries import them for functions that the daemon
+ * never uses, or uses only after its start, and loading them takes a noticeable part of the start time.
  */
 
 import { createRequire } from "node:module";
@@ -12,7 +11,7 @@
 
 const namespace = "lazy-builtin";
 
-const contents = name => `
+const lazyModuleSource = name => `
 const names = ${JSON.stringify(Object.keys(require(`node:${name}`)))};
 names.forEach(name => Object.defineProperty(module.exports, name, {
     enumerable: true,
@@ -20,7 +19,7 @@
 }));
 `;
 
-/** The plugin of the bundler. */
+/** The plugin for esbuild. */
 export const lazyBuiltins = {
     name: namespace,
     setup: build => {
@@ -33,6 +32,6 @@
                     : { path: name, namespace };
             },
         );
-        build.onLoad({ filter: /.*/, namespace }, ({ path }) => ({ contents: contents(path), loader: "js" }));
+        build.onLoad({ filter: /.*/, namespace }, ({ path }) => ({ contents: lazyModuleSource(path), loader: "js" }));
     },
 };
--- a/scripts/loader.cjs
+++ b/scripts/loader.cjs
@@ -1,6 +1,6 @@
 /**
- * Starts the bundled daemon from the code that V8 compiled at the build. Code of
- * another version of V8 is ignored, and compiled again.
+ * Starts the bundled daemon, with the V8 code cache from the build if there is one. A cache from another version of V8 is
+ * rejected, and the code is compiled again.
  */
 
 "use strict";
