--- a/packages/daemon/test/rest.test.ts
+++ b/packages/daemon/test/backoff.test.ts
@@ -14,31 +14,32 @@
     upstreams: 7,
     upstream: { slots: 6, queue: 12, workMs: 70 },
     targetMs: 300,
-    patienceMs: 1100,
+    callerTimeoutMs: 1100,
 };
 
 const upstreamsOf = (fleet: ModelFleet) => [...fleet.upstreams.values()];
-const disturbed = (fleet: ModelFleet): number => upstreamsOf(fleet).reduce((sum, upstream) => sum + upstream.disturbed, 0);
+const backoffViolations = (fleet: ModelFleet): number =>
+    upstreamsOf(fleet).reduce((sum, upstream) => sum + upstream.backoffViolations, 0);
 
 describe("upstreams that turn requests away and ask for a rest", () => {
     test("get nothing from the instances that they asked, and callers are served by the others", async () => {
         const fleet = new ModelFleet(fleetOptions);
         await fleet.load(60, 3000);
         upstreamsOf(fleet).slice(0, 2).forEach(upstream => {
-            upstream.turnAway = { untilMs: 12_000, restMs: 3000 };
+            upstream.rejection = { untilMs: 12_000, backoffMs: 3000 };
         });
         await fleet.load(60, 9000);
         await fleet.clock.advance(4000);
-        assert.equal(disturbed(fleet), 0);
-        const inTime = fleet.inTime(3000, 12_000);
-        assert.ok(inTime > 0.97, `in time: ${inTime}`);
+        assert.equal(backoffViolations(fleet), 0);
+        const shareWithinTarget = fleet.shareWithinTarget(3000, 12_000);
+        assert.ok(shareWithinTarget > 0.97, `in time: ${shareWithinTarget}`);
     });
 
     test("take work again after it", async () => {
         const fleet = new ModelFleet(fleetOptions);
         await fleet.load(60, 1000);
         const [first] = upstreamsOf(fleet);
-        first!.turnAway = { untilMs: 2000, restMs: 1000 };
+        first!.rejection = { untilMs: 2000, backoffMs: 1000 };
         await fleet.load(60, 3000);
         const before = first!.arrivals;
         await fleet.load(60, 4000);
@@ -51,12 +52,12 @@
         await fleet.load(20, 4000);
         await fleet.clock.advance(1000);
         const { arrivals, probes } = only!;
-        only!.turnAway = { untilMs: fleet.clock.nowMs() + 1000, restMs: 30_000 };
-        await fleet.callers(1);
+        only!.rejection = { untilMs: fleet.clock.nowMs() + 1000, backoffMs: 30_000 };
+        await fleet.startCallers(1);
         await fleet.clock.advance(35);
-        await fleet.callers(1);
+        await fleet.startCallers(1);
         await fleet.clock.advance(8000);
-        assert.deepEqual([only!.disturbed, only!.sheds, only!.arrivals - arrivals], [0, 1, 0]);
+        assert.deepEqual([only!.backoffViolations, only!.sheds, only!.arrivals - arrivals], [0, 1, 0]);
         assert.ok(only!.probes - probes <= 2);
     });
 
@@ -67,13 +68,13 @@
             for (let round = 0; round < 8; round += 1) {
                 const nowMs = fleet.clock.nowMs();
                 upstreamsOf(fleet).filter(() => random.next() < 0.5).forEach(upstream => {
-                    upstream.turnAway = { untilMs: nowMs + 1500 * random.next(), restMs: 100 + 2000 * random.next() };
+                    upstream.rejection = { untilMs: nowMs + 1500 * random.next(), backoffMs: 100 + 2000 * random.next() };
                 });
                 await fleet.load(20 + 100 * random.next(), 500 + 1500 * random.next());
             }
             await fleet.clock.advance(4000);
-            assert.equal(disturbed(fleet), 0);
-            assert.equal(fleet.results.length, fleet.callersBegun);
+            assert.equal(backoffViolations(fleet), 0);
+            assert.equal(fleet.results.length, fleet.callersStarted);
         });
     });
 });
@@ -83,21 +84,24 @@
         const fleet = new ModelFleet({ ...fleetOptions, instances: 1 });
         await fleet.load(60, 2000);
         upstreamsOf(fleet).forEach(upstream => {
-            upstream.turnAway = { untilMs: fleet.clock.nowMs() + 1000, restMs: 30_000 };
+            upstream.rejection = { untilMs: fleet.clock.nowMs() + 1000, backoffMs: 30_000 };
         });
         await fleet.load(60, 1000);
         const asked = () => upstreamsOf(fleet).map(({ arrivals, probes }) => [arrivals, probes]);
         const before = asked();
-        const askedAtMs = fleet.clock.nowMs();
-        const asks = Array.from({ length: 20 }, () => fleet.ask(1100).then(answer => ({ ...answer, atMs: fleet.clock.nowMs() })));
+        const sentAtMs = fleet.clock.nowMs();
+        const asks = Array.from(
+            { length: 20 },
+            () => fleet.sendRequest(1100).then(answer => ({ ...answer, atMs: fleet.clock.nowMs() })),
+        );
         await fleet.clock.advance(0);
         await fleet.clock.advance(2000);
         const answers = await Promise.all(asks);
         assert.deepEqual(asked(), before);
-        assert.deepEqual(answers.map(({ status, atMs }) => [status, atMs - askedAtMs]), answers.map(() => [503, 0]));
-        const waitsMs = answers.map(({ retryAfterMs }) => retryAfterMs);
-        assert.ok(Math.min(...waitsMs) > 28_000, `told to come back after ${Math.min(...waitsMs)} ms`);
-        assert.ok(new Set(waitsMs).size > 15, "told to come back at the same moment");
+        assert.deepEqual(answers.map(({ status, atMs }) => [status, atMs - sentAtMs]), answers.map(() => [503, 0]));
+        const retryAfterTimesMs = answers.map(({ retryAfterMs }) => retryAfterMs);
+        assert.ok(Math.min(...retryAfterTimesMs) > 28_000, `told to come back after ${Math.min(...retryAfterTimesMs)} ms`);
+        assert.ok(new Set(retryAfterTimesMs).size > 15, "told to come back at the same moment");
     });
 
     test("a caller waits where the rest ends in time", async () => {
@@ -105,15 +109,15 @@
         await fleet.load(20, 4000);
         await fleet.clock.advance(1000);
         const [only] = upstreamsOf(fleet);
-        only!.turnAway = { untilMs: fleet.clock.nowMs() + 50, restMs: 60 };
-        const askedAtMs = fleet.clock.nowMs();
-        const ask = fleet.ask(1100).then(({ status }) => ({ status, tookMs: fleet.clock.nowMs() - askedAtMs }));
+        only!.rejection = { untilMs: fleet.clock.nowMs() + 50, backoffMs: 60 };
+        const sentAtMs = fleet.clock.nowMs();
+        const ask = fleet.sendRequest(1100).then(({ status }) => ({ status, tookMs: fleet.clock.nowMs() - sentAtMs }));
         await fleet.clock.advance(0);
         await fleet.clock.advance(2000);
         const { status, tookMs } = await ask;
         assert.equal(only!.sheds, 1);
         assert.equal(status, 200);
         assert.ok(tookMs > 60 && tookMs < fleetOptions.targetMs, `${tookMs} ms`);
-        assert.equal(disturbed(fleet), 0);
+        assert.equal(backoffViolations(fleet), 0);
     });
 });
--- a/packages/daemon/test/budgets.test.ts
+++ b/packages/daemon/test/budgets.test.ts
@@ -7,7 +7,7 @@
 import { ProbeBudget } from "../src/upstream/probe-budget.js";
 
 /** Seconds for which probes are saved up; the most that any window may see beyond its own share. */
-const savedSeconds = 6;
+const burstSeconds = 6;
 
 test("no schedule takes more probes of an upstream out of a budget than its share and what is saved", async () => {
     const step = fc.record({ waitMs: fc.integer({ min: 0, max: 400 }), wanted: fc.integer({ min: 0, max: 8 }) });
@@ -25,7 +25,7 @@
                     await clock.advance(waitMs);
                     taken += Array.from({ length: wanted }, () => budget.take(upstreamId("a"))).filter(Boolean).length;
                 }
-                const allowed = perSecond * ((clock.nowMs() - startMs) / 1000 + savedSeconds) + 1;
+                const allowed = perSecond * ((clock.nowMs() - startMs) / 1000 + burstSeconds) + 1;
                 assert.ok(taken <= allowed, `${taken} of ${allowed}`);
             },
         ),
--- a/packages/daemon/test/rush.test.ts
+++ b/packages/daemon/test/burst.test.ts
@@ -14,10 +14,10 @@
         kneeFactor: 1.7,
         slowShare: 0.25,
         slowFactor: 5,
-        drawnEveryMs: 150,
+        redrawIntervalMs: 150,
     },
     targetMs: 600,
-    patienceMs: 4000,
+    callerTimeoutMs: 4000,
 };
 
 const sum = (fleet: ModelFleet, figure: "arrivals" | "sheds"): number =>
@@ -30,8 +30,8 @@
         await fleet.load(120, 4000);
         await fleet.load(35, 8000);
         await fleet.clock.advance(8000);
-        const before = fleet.inTime(3000, 8000);
-        const after = fleet.inTime(15_000, 20_000);
+        const before = fleet.shareWithinTarget(3000, 8000);
+        const after = fleet.shareWithinTarget(15_000, 20_000);
         assert.ok(before > 0.95, `in time before the rush: ${before}`);
         assert.ok(after > 0.95, `in time after the rush: ${after}`);
     });
@@ -41,8 +41,8 @@
         await fleet.load(35, 8000);
         await fleet.load(120, 4000);
         await fleet.clock.advance(8000);
-        const inTime = fleet.inTime(8000, 12_000);
-        assert.ok(inTime > 0.35, `in time during the rush: ${inTime}`);
+        const shareWithinTarget = fleet.shareWithinTarget(8000, 12_000);
+        assert.ok(shareWithinTarget > 0.35, `in time during the rush: ${shareWithinTarget}`);
         assert.ok(
             sum(fleet, "sheds") / sum(fleet, "arrivals") < 0.02,
             `${sum(fleet, "sheds")} of ${sum(fleet, "arrivals")} shed`,
@@ -53,8 +53,8 @@
         const fleet = new ModelFleet({ ...fleetOptions, seed: 3 });
         await fleet.load(150, 3000);
         await fleet.clock.advance(10_000);
-        assert.ok(fleet.callersBegun > 400);
-        assert.equal(fleet.results.length, fleet.callersBegun);
+        assert.ok(fleet.callersStarted > 400);
+        assert.equal(fleet.results.length, fleet.callersStarted);
     });
 
     test("many instances at many upstreams do not fill them all at once", async () => {
@@ -64,9 +64,9 @@
         await fleet.load(225, 4000);
         await fleet.load(107, 3000);
         await fleet.clock.advance(8000);
-        const during = fleet.inTime(8000, 12_000);
-        const after = fleet.inTime(12_500, 15_000);
-        const most = Math.max(...[...fleet.upstreams.values()].map(({ mostInFlight }) => mostInFlight));
+        const during = fleet.shareWithinTarget(8000, 12_000);
+        const after = fleet.shareWithinTarget(12_500, 15_000);
+        const most = Math.max(...[...fleet.upstreams.values()].map(({ maximumInFlight }) => maximumInFlight));
         assert.ok(during > 0.55, `in time during the rush: ${during}`);
         assert.ok(after > 0.9, `in time right after it: ${after}`);
         assert.ok(most <= 12, `${most} at one upstream`);
--- a/packages/daemon/test/hedge.test.ts
+++ b/packages/daemon/test/hedge.test.ts
@@ -17,14 +17,14 @@
         upstreams: 2,
         upstream: { slots: 1, queue: 9, workMs: 60_000 },
         targetMs: 400,
-        patienceMs: 4000,
+        callerTimeoutMs: 4000,
         policies,
     });
     const [stuck, full] = [...fleet.upstreams.values()];
-    const leave = full!.take(() => undefined);
+    const leave = full!.accept(() => undefined);
     const arrivedBefore = full!.arrivals;
     await fleet.clock.advance(1000);
-    await fleet.callers(1);
+    await fleet.startCallers(1);
     await fleet.clock.advance(300);
     assert.deepEqual([stuck!.arrivals, full!.arrivals], [1, arrivedBefore]);
     leave?.();
--- a/packages/daemon/test/held-probes.test.ts
+++ b/packages/daemon/test/held-probes.test.ts
@@ -19,10 +19,10 @@
         upstreams: 3,
         upstream: { slots: 1, queue: 9, workMs: 60_000 },
         targetMs: 400,
-        patienceMs: 4000,
+        callerTimeoutMs: 4000,
         ...(policies === undefined ? {} : { policies }),
     });
-    fleet.upstreams.forEach(upstream => Array.from({ length: 5 }, () => upstream.take(() => undefined)));
+    fleet.upstreams.forEach(upstream => Array.from({ length: 5 }, () => upstream.accept(() => undefined)));
     await fleet.clock.advance(1000);
     return fleet;
 };
@@ -30,26 +30,26 @@
 const probesOf = (fleet: ModelFleet): number => [...fleet.upstreams.values()].reduce((sum, upstream) => sum + upstream.probes, 0);
 
 /** A request is held for half of its target at most, and decided again every 20 ms; each decision asks two upstreams at most. */
-const mostProbes = 4 + 2 * (200 / 20 + 1);
+const maximumProbes = 4 + 2 * (200 / 20 + 1);
 
 test("a held request asks two upstreams each time it is decided again, no more", async () => {
     const fleet = await start(patient);
-    await fleet.callers(1);
+    await fleet.startCallers(1);
     await fleet.clock.advance(300);
     assert.ok(probesOf(fleet) >= 4, `${probesOf(fleet)} probes`);
-    assert.ok(probesOf(fleet) <= mostProbes, `${probesOf(fleet)} probes`);
+    assert.ok(probesOf(fleet) <= maximumProbes, `${probesOf(fleet)} probes`);
 });
 
 test("however many wait behind it, only the first of them asks", async () => {
     const fleet = await start(patient);
-    await fleet.callers(20);
+    await fleet.startCallers(20);
     await fleet.clock.advance(300);
-    assert.ok(probesOf(fleet) <= mostProbes + 4, `${probesOf(fleet)} probes`);
+    assert.ok(probesOf(fleet) <= maximumProbes + 4, `${probesOf(fleet)} probes`);
 });
 
 test("a request for which no upstream can have room in time is refused at once", async () => {
     const fleet = await start();
-    const status = fleet.ask(4000);
+    const status = fleet.sendRequest(4000);
     await fleet.clock.advance(0);
     await fleet.clock.advance(60);
     assert.equal((await status).status, 503);
--- a/packages/daemon/test/limit-rush.test.ts
+++ b/packages/daemon/test/limit-burst.test.ts
@@ -3,18 +3,18 @@
  */
 
 import { describe, test } from "node:test";
-import { assertKept, playing, upstreamsOf, usualPerSecond } from "./model/limit-play.js";
+import { assertLimitsRespected, baseRequestsPerSecond, runScenario, upstreamsOf } from "./model/limit-scenario.js";
 
 describe("after a pause in which every turn was saved up", () => {
     [13, 95].forEach(instances => {
         test(`a rush at ${instances} instances is kept to the limit`, () =>
-            playing({ instances }, async fleet => {
-                await fleet.load(usualPerSecond, 2000);
-                upstreamsOf(fleet).forEach(upstream => upstream.nameLimit(4));
-                await fleet.load(usualPerSecond, 4000);
+            runScenario({ instances }, async fleet => {
+                await fleet.load(baseRequestsPerSecond, 2000);
+                upstreamsOf(fleet).forEach(upstream => upstream.announceLimit(4));
+                await fleet.load(baseRequestsPerSecond, 4000);
                 await fleet.clock.advance(20_000);
-                await fleet.load(6 * usualPerSecond, 3500);
-                assertKept(fleet);
+                await fleet.load(6 * baseRequestsPerSecond, 3500);
+                assertLimitsRespected(fleet);
             }));
     });
 });
--- a/packages/daemon/test/limit-random.test.ts
+++ b/packages/daemon/test/limit-random.test.ts
@@ -5,22 +5,22 @@
 import { SeededRandom } from "@harrierhitch/core";
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
-import { assertKept, playing, upstreamsOf } from "./model/limit-play.js";
+import { assertLimitsRespected, runScenario, upstreamsOf } from "./model/limit-scenario.js";
 
 describe("limits at random moments are kept", () => {
     Array.from({ length: 8 }, (_, seed) => seed + 1).forEach(seed => {
         test(`whatever is named, seed ${seed}`, () => {
             const random = new SeededRandom(seed);
-            return playing({ seed, instances: 3 + Math.floor(16 * random.next()) }, async fleet => {
+            return runScenario({ seed, instances: 3 + Math.floor(16 * random.next()) }, async fleet => {
                 for (let round = 0; round < 6; round += 1) {
                     upstreamsOf(fleet).filter(() => random.next() < 0.4).forEach(upstream =>
-                        upstream.nameLimit(random.next() < 0.2 ? undefined : 10 ** (2 * random.next() - 1))
+                        upstream.announceLimit(random.next() < 0.2 ? undefined : 10 ** (2 * random.next() - 1))
                     );
                     await fleet.load(20 + 80 * random.next(), 1000 + 4000 * random.next());
                 }
-                assertKept(fleet);
+                assertLimitsRespected(fleet);
                 await fleet.clock.advance(4000);
-                assert.equal(fleet.results.length, fleet.callersBegun);
+                assert.equal(fleet.results.length, fleet.callersStarted);
             });
         });
     });
--- a/packages/daemon/test/many-upstreams.test.ts
+++ b/packages/daemon/test/many-upstreams.test.ts
@@ -6,9 +6,18 @@
 const fleetOptions = {
     instances: 36,
     upstreams: 72,
-    upstream: { slots: 3, queue: 6, workMs: 200, knee: 0.8, kneeFactor: 1.7, slowShare: 0.25, slowFactor: 5, drawnEveryMs: 150 },
+    upstream: {
+        slots: 3,
+        queue: 6,
+        workMs: 200,
+        knee: 0.8,
+        kneeFactor: 1.7,
+        slowShare: 0.25,
+        slowFactor: 5,
+        redrawIntervalMs: 150,
+    },
     targetMs: 500,
-    patienceMs: 4000,
+    callerTimeoutMs: 4000,
 };
 
 const sums = (fleet: ModelFleet) => {
@@ -23,7 +32,11 @@
     await fleet.load(600, 3000);
     await fleet.load(200, 3000);
     await fleet.clock.advance(8000);
-    const [before, during, after] = [fleet.inTime(1000, 3000), fleet.inTime(3000, 6000), fleet.inTime(7000, 9000)];
+    const [before, during, after] = [
+        fleet.shareWithinTarget(1000, 3000),
+        fleet.shareWithinTarget(3000, 6000),
+        fleet.shareWithinTarget(7000, 9000),
+    ];
     const { arrivals, sheds } = sums(fleet);
     assert.ok(before > 0.97, `in time before the rush: ${before}`);
     assert.ok(during > 0.84, `in time during the rush: ${during}`);
--- a/packages/daemon/test/model/model-texts.ts
+++ b/packages/daemon/test/model/model-configuration.ts
@@ -9,9 +9,9 @@
 
 const deployedPolicies = new URL("../../../../../deploy/policies.ini", import.meta.url);
 
-/** The configuration that modelled instances follow. */
+/** Returns the configuration of the modelled instances. */
 export const modelConfiguration = (options: ModelFleetOptions, upstreams: readonly UpstreamId[]): string => {
-    const { instances, targetMs, patienceMs, upstream } = options;
+    const { instances, targetMs, callerTimeoutMs, upstream } = options;
     const sections = upstreams.map((id, index) =>
         [
             `[upstream.${id}]`,
@@ -29,7 +29,7 @@
         "[kind.read]",
         "repeatable = true",
         `targetLatencyMs = ${targetMs}`,
-        `timeoutMs = ${patienceMs}`,
+        `timeoutMs = ${callerTimeoutMs}`,
         "policy = repeatable",
         "[service.main]",
         "policy = repeatable",
@@ -46,14 +46,14 @@
 };
 
 /**
- * The settings of a modelled instance.
+ * Returns the settings of a modelled instance.
  *
- * @param id - Its id.
- * @param isJoined - Whether it is part of a fleet.
+ * @param id - The id of the instance.
+ * @param isJoined - Whether it joins a fleet.
  */
-export const modelSettings = (id: string, isJoined: boolean): string => settingsText(id) + (isJoined ? peersText : "");
+export const modelSettings = (id: string, isJoined: boolean): string => baseSettings(id) + (isJoined ? peerSettings : "");
 
-const settingsText = (id: string): string => `
+const baseSettings = (id: string): string => `
 [instance]
 id = ${id}
 availabilityZone = zone
@@ -69,7 +69,7 @@
 probesPerSecond = 60
 `;
 
-const peersText = `
+const peerSettings = `
 [peers]
 address = 127.0.0.1
 trustsNetwork = true
--- a/packages/daemon/test/model/model-fleet.ts
+++ b/packages/daemon/test/model/model-fleet.ts
@@ -1,5 +1,5 @@
 /**
- * Several instances, modelled upstreams and callers on one fake clock: the decisions are the real ones.
+ * Simulates a fleet: real instances with modelled upstreams and callers on a fake clock.
  */
 
 import { checkConfiguration, checkSettings } from "@harrierhitch/configuration";
@@ -9,60 +9,60 @@
 import { CallerResponse } from "../../src/request/caller-response.js";
 import { EventLog } from "../../src/telemetry/event-log.js";
 import { Metrics } from "../../src/telemetry/metrics.js";
-import { modelDialect } from "./model-dialect.js";
+import { modelConfiguration, modelSettings } from "./model-configuration.js";
+import { modelHeaderProtocol } from "./model-header-protocol.js";
 import { ModelPeers } from "./model-peers.js";
 import { modelRequest, ModelResponse } from "./model-request.js";
-import { modelConfiguration, modelSettings } from "./model-texts.js";
 import { ModelTransport } from "./model-transport.js";
 import { ModelUpstream, type ModelUpstreamOptions } from "./model-upstream.js";
 
-/** What a fleet is made of. */
+/** Size and behaviour of the simulated fleet. */
 export interface ModelFleetOptions {
     readonly instances: number;
     readonly upstreams: number;
     readonly upstream: Omit<ModelUpstreamOptions, "clock" | "random">;
     readonly targetMs: number;
-    readonly patienceMs: number;
-    /** Policies in place of those that are deployed. */
+    readonly callerTimeoutMs: number;
+    /** Replaces the deployed policies. */
     readonly policies?: string;
     readonly seed?: number;
-    /** How unevenly callers are spread over the instances: 1 is evenly, 2 gives the first tenth of them a third. */
+    /** Skew of the callers' distribution over the instances: 1 is even, 2 gives the first tenth of the instances a third. */
     readonly skew?: number;
-    /** Time until a connection to an upstream is there. */
+    /** Time to open a connection to an upstream, in milliseconds. */
     readonly connectMs?: number;
-    /** Whether the instances know no configuration until {@link ModelFleet.publish}, as after their start. */
+    /** Whether the instances have no configuration before {@link ModelFleet.publish}. */
     readonly startsUnconfigured?: boolean;
-    /** Whether the instances know each other, as in a fleet; each works alone without it. */
+    /** Whether the instances join a fleet; otherwise each works alone. */
     readonly isJoined?: boolean;
 }
 
-/** What became of one caller. */
+/** The outcome of one caller. */
 export interface CallerResult {
-    readonly firstAtMs: number;
-    /** Time from the first try to the answer; `undefined` without a good one. */
-    readonly servedMs: number | undefined;
+    readonly firstTryAtMs: number;
+    /** Time from the first try to the successful response; `undefined` without one. */
+    readonly responseTimeMs: number | undefined;
     readonly tries: number;
 }
 
-/** Time for which an instance that stops as planned still talks to the others, in milliseconds. */
-const stopMs = 1000;
+/** Time after a planned stop during which an instance still exchanges with its peers, in milliseconds. */
+const leaveDelayMs = 1000;
 
-const nameOf = (index: number): string => `entry-${index}`;
+const instanceName = (index: number): string => `entry-${index}`;
 
-/** Tries of a caller that is refused, the first included. */
+/** Tries of a caller that is rejected, including the first. */
 const maximumTries = 3;
 
-/** Share of its remaining time for which a caller waits at most when it is told to come back. */
-const comeBackShare = 1 / 3;
+/** Longest wait of a caller before a retry, as a share of its remaining time. */
+const maximumRetryWaitShare = 1 / 3;
 
-/** Runs callers against real decisions and modelled upstreams. */
+/** Runs callers against real instances and modelled upstreams. */
 export class ModelFleet {
     readonly clock = new FakeClock();
     readonly results: CallerResult[] = [];
-    /** Callers that have begun. */
-    callersBegun = 0;
+    /** Number of callers that have sent their first try. */
+    callersStarted = 0;
     readonly upstreams: ReadonlyMap<UpstreamId, ModelUpstream>;
-    /** How the instances know each other. */
+    /** The membership of the instances. */
     readonly peers: ModelPeers;
     private readonly random: SeededRandom;
     private readonly instances = new Map<number, Instance>();
@@ -78,79 +78,80 @@
         Array.from({ length: options.instances }, (_, index) => this.start(index));
     }
 
-    /** Starts an instance, anew if it runs. */
+    /** Starts or restarts an instance. */
     start(index: number): void {
         this.kill(index);
-        // A start has been told nothing yet.
-        this.upstreams.forEach(({ limits }) => limits.forget(nameOf(index)));
+        // The new process has received no limit yet.
+        this.upstreams.forEach(({ limits }) => limits.resetInstance(instanceName(index)));
         this.instances.set(index, this.createInstance(index));
     }
 
-    /** Ends an instance at once. */
+    /** Ends an instance without notice to its peers. */
     kill(index: number): void {
         this.peers.kill(index);
         this.instances.delete(index);
     }
 
-    /** Stops an instance as planned: it gets no new callers, and the others know. */
+    /** Stops an instance as planned: it receives no new callers and announces that it leaves. */
     stop(index: number): void {
         void this.instances.get(index)?.fleet?.announceLeaving();
         this.instances.delete(index);
-        this.clock.after(stopMs, () => this.peers.kill(index));
+        this.clock.after(leaveDelayMs, () => this.peers.kill(index));
     }
 
-    /** Sends requests at a rate for a time; each caller comes back as it is told. */
+    /** Starts callers at a rate for a time; each retries as its responses request. */
     async load(perSecond: number, forMs: number): Promise<void> {
         const endAtMs = this.clock.nowMs() + forMs;
         while (this.clock.nowMs() < endAtMs) {
             await this.clock.advance(-Math.log(1 - this.random.next()) / perSecond * 1000);
-            await this.callers(1);
+            await this.startCallers(1);
         }
     }
 
-    /** Some callers at the same moment; gives time to what they begin at once, before the clock moves on. */
-    callers(count: number): Promise<void> {
-        Array.from({ length: count }, () => void this.call());
+    /** Starts callers at the same moment and runs pending callbacks before the clock moves on. */
+    startCallers(count: number): Promise<void> {
+        Array.from({ length: count }, () => void this.runCaller());
         return this.clock.advance(0);
     }
 
-    /** Share of the callers between two times that were answered within the target. */
-    inTime(fromMs: number, untilMs: number): number {
-        const callers = this.results.filter(({ firstAtMs }) => firstAtMs >= fromMs && firstAtMs < untilMs);
-        return callers.filter(({ servedMs = Infinity }) => servedMs <= this.options.targetMs).length / callers.length;
+    /** Returns the share of the callers started between two times that had a response within the target. */
+    shareWithinTarget(fromMs: number, untilMs: number): number {
+        const callers = this.results.filter(({ firstTryAtMs }) => firstTryAtMs >= fromMs && firstTryAtMs < untilMs);
+        return callers.filter(({ responseTimeMs = Infinity }) => responseTimeMs <= this.options.targetMs).length / callers.length;
     }
 
-    /** Median time from a caller's first try to its answer. */
+    /** Median time from a caller's first try to its response. */
     get medianMs(): number {
-        const times = this.results.map(({ servedMs = Infinity }) => servedMs).sort((a, b) => a - b);
+        const times = this.results.map(({ responseTimeMs = Infinity }) => responseTimeMs).sort((a, b) => a - b);
         return times[Math.floor(times.length / 2)] ?? NaN;
     }
 
-    /** Share of all callers that were answered well by the given try. */
-    servedBy(tries: number): number {
-        return this.results.filter(result => result.servedMs !== undefined && result.tries <= tries).length / this.results.length;
+    /** Returns the share of all callers that were served within a number of tries. */
+    shareServedWithin(tries: number): number {
+        return this.results.filter(result => result.responseTimeMs !== undefined && result.tries <= tries).length
+            / this.results.length;
     }
 
-    private async call(): Promise<void> {
-        const firstAtMs = this.clock.nowMs();
-        this.callersBegun += 1;
+    private async runCaller(): Promise<void> {
+        const firstTryAtMs = this.clock.nowMs();
+        this.callersStarted += 1;
         for (let tries = 1; tries <= maximumTries; tries += 1) {
-            const leftMs = this.options.patienceMs - (this.clock.nowMs() - firstAtMs);
-            const { status, retryAfterMs } = await this.ask(Math.round(leftMs));
+            const remainingMs = this.options.callerTimeoutMs - (this.clock.nowMs() - firstTryAtMs);
+            const { status, retryAfterMs } = await this.sendRequest(Math.round(remainingMs));
             if (status === 200) {
-                this.results.push({ firstAtMs, servedMs: this.clock.nowMs() - firstAtMs, tries });
+                this.results.push({ firstTryAtMs, responseTimeMs: this.clock.nowMs() - firstTryAtMs, tries });
                 return;
             }
-            await sleep(this.clock, Math.min(retryAfterMs, leftMs * comeBackShare));
+            await sleep(this.clock, Math.min(retryAfterMs, remainingMs * maximumRetryWaitShare));
         }
-        this.results.push({ firstAtMs, servedMs: undefined, tries: maximumTries });
+        this.results.push({ firstTryAtMs, responseTimeMs: undefined, tries: maximumTries });
     }
 
-    /** One try of a caller. */
-    async ask(patienceMs: number): Promise<{ readonly status: number; readonly retryAfterMs: number; }> {
+    /** Sends one request of a caller to a random instance. */
+    async sendRequest(callerTimeoutMs: number): Promise<{ readonly status: number; readonly retryAfterMs: number; }> {
         const running = [...this.instances.values()];
         const instance = running[Math.floor(this.random.next() ** (this.options.skew ?? 1) * running.length)];
-        const request = modelRequest(patienceMs);
+        const request = modelRequest(callerTimeoutMs);
         const response = new ModelResponse();
         await instance?.serve(request, new CallerResponse(request, response as unknown as ServerResponse));
         return { status: response.status, retryAfterMs: Number(response.headers["retry-after"] ?? 0) * 1000 };
@@ -158,16 +159,16 @@
 
     private createInstance(index: number): Instance {
         const { clock } = this;
-        const settings = checkSettings("settings.ini", modelSettings(nameOf(index), this.options.isJoined === true)).value;
+        const settings = checkSettings("settings.ini", modelSettings(instanceName(index), this.options.isJoined === true)).value;
         if (settings === undefined) {
-            throw new RangeError("the settings of the model are not valid");
+            throw new RangeError("the settings of the simulated instances are not valid");
         }
         const instance = new Instance({
             settings,
             clock,
             random: new SeededRandom(index + 1),
-            transport: new ModelTransport(clock, this.upstreams, nameOf(index), this.options.connectMs),
-            headerProtocol: modelDialect,
+            transport: new ModelTransport(clock, this.upstreams, instanceName(index), this.options.connectMs),
+            headerProtocol: modelHeaderProtocol,
             parser: {
                 parseConfiguration: checkConfiguration,
                 parseUpstream: () => ({ value: undefined, findings: [] }),
@@ -186,18 +187,18 @@
         return instance;
     }
 
-    /** Lets all instances take what the platform tells. */
+    /** Applies a publication of the platform to all instances. */
     publish(): void {
-        const told = {
+        const publication = {
             configuration: modelConfiguration(this.options, [...this.upstreams.keys()]),
             listings: [],
             zones: [],
             revision: 1,
         };
-        this.instances.forEach(instance => instance.applyPublication(told, true));
+        this.instances.forEach(instance => instance.applyPublication(publication, true));
     }
 
-    /** Lets all instances notice that the platform does not answer. */
+    /** Reports a failed read of the platform to all instances. */
     failPlatform(): void {
         this.instances.forEach(instance => instance.recordPlatformFailure());
     }
@@ -206,7 +207,7 @@
         if (
             instance.applyConfiguration("model", modelConfiguration(this.options, [...this.upstreams.keys()])).type !== "accepted"
         ) {
-            throw new RangeError("the configuration of the model is not valid");
+            throw new RangeError("the configuration of the simulated instances is not valid");
         }
     }
 }
--- a/packages/daemon/test/model/model-dialect.ts
+++ b/packages/daemon/test/model/model-header-protocol.ts
@@ -1,5 +1,5 @@
 /**
- * How callers and modelled upstreams say things.
+ * The header protocol between modelled callers, instances and upstreams.
  */
 
 import type { Configuration, RequestKind } from "@harrierhitch/configuration";
@@ -8,26 +8,26 @@
 import type { HeaderProtocol, LoadReport, ParsedResponse, ResponseHead } from "../../src/request/header-protocol.js";
 import { numberHeader, pathOf, type RequestMetadata } from "../../src/request/request-metadata.js";
 import { readBackoff } from "../../src/request/response-notice.js";
-import { modelLeavingHeader, modelLimitHeader, modelLoadHeader } from "./model-transport.js";
+import { modelDrainingHeader, modelLimitHeader, modelLoadHeader } from "./model-transport.js";
 
-/** Header with the milliseconds for which a caller will wait. */
-export const modelPatienceHeader = "patience-ms";
+/** Request header with the caller's timeout, in milliseconds. */
+export const modelTimeoutHeader = "timeout-ms";
 
-const readLoad = (text: string | readonly string[] | undefined): LoadReport | undefined => {
+const parseLoad = (text: string | readonly string[] | undefined): LoadReport | undefined => {
     if (typeof text !== "string") {
         return undefined;
     }
-    const [running = 0, waiting = 0, slots = 1, slowness = 1] = text.split(",").map(Number);
-    return { inFlight: running + waiting, slots, slowness };
+    const [running = 0, queued = 0, slots = 1, slowness = 1] = text.split(",").map(Number);
+    return { inFlight: running + queued, slots, slowness };
 };
 
 /** The {@link HeaderProtocol} of the model. */
-export const modelDialect: HeaderProtocol = {
+export const modelHeaderProtocol: HeaderProtocol = {
     readRequestMetadata: (request: IncomingMessage, _: Configuration, kind: RequestKind): RequestMetadata => {
-        const patienceMs = numberHeader(request, modelPatienceHeader);
+        const callerTimeoutMs = numberHeader(request, modelTimeoutHeader);
         return {
-            timeoutMs: Math.min(patienceMs ?? kind.timeoutMs, kind.timeoutMs),
-            callerTimeoutMs: patienceMs,
+            timeoutMs: Math.min(callerTimeoutMs ?? kind.timeoutMs, kind.timeoutMs),
+            callerTimeoutMs,
             workspace: "",
             depth: 0,
             path: pathOf(request.url ?? "/"),
@@ -46,11 +46,11 @@
             retryable: shed,
             forwardable: !shed,
             notice: {
-                draining: headers[modelLeavingHeader] !== undefined,
+                draining: headers[modelDrainingHeader] !== undefined,
                 limit: readLimit(headers[modelLimitHeader]),
                 ...readBackoff(status, headers),
             },
-            load: readLoad(headers[modelLoadHeader]),
+            load: parseLoad(headers[modelLoadHeader]),
             coldMs: undefined,
         };
     },
--- a/packages/daemon/test/model/model-peers.ts
+++ b/packages/daemon/test/model/model-peers.ts
@@ -1,5 +1,5 @@
 /**
- * The fleet of modelled instances: real membership over a network that delays, drops and cuts.
+ * Joins modelled instances to a fleet, with real membership over a modelled network.
  */
 
 import type { FakeClock, SeededRandom } from "@harrierhitch/core";
@@ -7,36 +7,36 @@
 import type { Instance } from "../../src/instance.js";
 import { instanceFleetOptions } from "../../src/peers/instance-fleet.js";
 import { EventLog } from "../../src/telemetry/event-log.js";
-import { basePort, StoreNetwork } from "./store-network.js";
+import { basePort, PeerNetwork } from "./peer-network.js";
 
 const zones = 3;
 
-/** Joins instances to each other. */
+/** Manages the fleet membership of modelled instances. */
 export class ModelPeers {
-    /** Instances that no other instance reaches. */
-    readonly cutOff = new Set<number>();
-    /** Whether the way between two instances is cut. */
-    isSplit: (a: number, b: number) => boolean = () => false;
-    private readonly network: StoreNetwork;
+    /** Instances without a connection to any other. */
+    readonly isolated = new Set<number>();
+    /** Whether two instances are in different partitions. */
+    isPartitioned: (a: number, b: number) => boolean = () => false;
+    private readonly network: PeerNetwork;
     private readonly fleets = new Map<number, Fleet>();
 
     constructor(private readonly clock: FakeClock, private readonly random: SeededRandom) {
-        this.network = new StoreNetwork(clock, random, this.cutOff, (a, b) => this.isSplit(a, b));
+        this.network = new PeerNetwork(clock, random, this.isolated, (a, b) => this.isPartitioned(a, b));
     }
 
-    /** Exchanges between instances. */
+    /** Number of exchanges between instances. */
     get exchanges(): number {
         return this.network.exchanges;
     }
 
-    /** Bytes that these and their answers had. */
+    /** Bytes of these exchanges and of their responses. */
     get exchangedBytes(): number {
         return this.network.bytes;
     }
 
     /** Joins an instance to the others. */
     join(index: number, instance: Instance): void {
-        const never = (): never => {
+        const notUsed = (): never => {
             throw new TypeError("not used");
         };
         const log = new EventLog({ level: "silent", clock: this.clock });
@@ -54,23 +54,23 @@
             onLimited: () => undefined,
             onUnreachable: () => undefined,
         });
-        this.network.open(
+        this.network.register(
             index,
-            peerService({ fleetName: "model", fleet, explain: never, status: never, onRejected: () => undefined }),
+            peerService({ fleetName: "model", fleet, explain: notUsed, status: notUsed, onRejected: () => undefined }),
         );
         this.fleets.set(index, fleet);
         instance.fleet = fleet;
         fleet.start();
     }
 
-    /** Ends an instance's part at once. */
+    /** Ends an instance's membership without notice to the others. */
     kill(index: number): void {
         this.fleets.get(index)?.stop();
         this.fleets.delete(index);
-        this.network.close(index);
+        this.network.unregister(index);
     }
 
-    /** Ends all parts. */
+    /** Ends the membership of all instances. */
     stop(): void {
         [...this.fleets.keys()].forEach(index => this.kill(index));
     }
--- a/packages/daemon/test/model/model-request.ts
+++ b/packages/daemon/test/model/model-request.ts
@@ -1,24 +1,24 @@
 /**
- * Requests of modelled callers, and what they are answered.
+ * Requests of modelled callers and the responses to them.
  */
 
 import { EventEmitter } from "node:events";
 import type { IncomingMessage } from "node:http";
-import { modelPatienceHeader } from "./model-dialect.js";
+import { modelTimeoutHeader } from "./model-header-protocol.js";
 
-/** A request of a modelled caller; as much of one as an instance uses. */
-export const modelRequest = (patienceMs: number): IncomingMessage =>
+/** Creates a caller's request with the members that an instance uses. */
+export const modelRequest = (callerTimeoutMs: number): IncomingMessage =>
     ({
         method: "GET",
         url: "/",
         httpVersion: "1.1",
-        headers: { host: "model", [modelPatienceHeader]: String(patienceMs) },
+        headers: { host: "model", [modelTimeoutHeader]: String(callerTimeoutMs) },
         rawHeaders: ["host", "model"],
         complete: true,
         socket: { remoteAddress: "127.0.0.1" },
     }) as unknown as IncomingMessage;
 
-/** Takes an answer; as much of a response as an instance uses. */
+/** Records a response; implements the members of a server response that an instance uses. */
 export class ModelResponse extends EventEmitter {
     status = 0;
     headers: Readonly<Record<string, unknown>> = {};
--- a/packages/daemon/test/model/model-transport.ts
+++ b/packages/daemon/test/model/model-transport.ts
@@ -1,5 +1,5 @@
 /**
- * A transport to modelled upstreams.
+ * The transport from modelled instances to modelled upstreams.
  */
 
 import type { Upstream } from "@harrierhitch/configuration";
@@ -8,28 +8,28 @@
 import type { Attempt, ResponseSink, UpstreamRequest, UpstreamTransport } from "../../src/upstream/upstream-transport.js";
 import type { ModelUpstream } from "./model-upstream.js";
 
-/** Path at which modelled upstreams are asked for their load. */
+/** Path at which modelled upstreams report their load. */
 export const modelProbePath = "/load";
 
-/** Header with their load. */
+/** Header with an upstream's load report. */
 export const modelLoadHeader = "load";
 
-/** Header of an upstream that leaves. */
-export const modelLeavingHeader = "leaving";
+/** Header of an upstream that drains. */
+export const modelDrainingHeader = "draining";
 
-/** Header of an upstream that names how much it takes. */
+/** Header with an upstream's rate limit, in requests per second. */
 export const modelLimitHeader = "limit";
 
-/** Time from an instance to an upstream. */
-const wayMs = 1;
+/** Network delay between an instance and an upstream in each direction, in milliseconds. */
+const oneWayDelayMs = 1;
 
-/** Sends to modelled upstreams. */
+/** Sends requests and probes of one instance to modelled upstreams. */
 export class ModelTransport implements UpstreamTransport {
     constructor(
         private readonly clock: Clock,
         private readonly upstreams: ReadonlyMap<UpstreamId, ModelUpstream>,
         private readonly instance: string,
-        /** Time until a connection is there. */
+        /** Time to open a connection, in milliseconds. */
         private readonly connectMs = 0,
     ) {}
 
@@ -38,56 +38,56 @@
         if (model === undefined) {
             throw new RangeError(`there is no model of ${upstream.id}`);
         }
-        let leave: (() => void) | undefined;
+        let abandon: (() => void) | undefined;
         let settle: (result: AttemptResult) => void = () => undefined;
         const result = new Promise<AttemptResult>(resolve => {
             settle = resolve;
         });
-        const answer = async (status: number, restMs?: number): Promise<void> => {
+        const respond = async (status: number, backoffMs?: number): Promise<void> => {
             const { load } = model;
             const headers = {
                 "content-length": "0",
                 ...(load === undefined ? {} : { [modelLoadHeader]: load }),
-                ...(restMs === undefined ? {} : { "retry-after": String(restMs / 1000) }),
-                ...(model.isLeaving ? { [modelLeavingHeader]: "1" } : {}),
+                ...(backoffMs === undefined ? {} : { "retry-after": String(backoffMs / 1000) }),
+                ...(model.isDraining ? { [modelDrainingHeader]: "1" } : {}),
                 ...(model.limitHeader === undefined ? {} : { [modelLimitHeader]: model.limitHeader }),
             };
-            await sleep(this.clock, wayMs);
-            model.noteTold(this.instance);
+            await sleep(this.clock, oneWayDelayMs);
+            model.recordNotified(this.instance);
             sink.onHead(status, headers);
             settle({ end: "answered", status, detail: "", sent: true });
         };
-        const arrive = async (): Promise<void> => {
+        const deliver = async (): Promise<void> => {
             await sleep(this.clock, this.connectMs);
             if (request.mayBegin?.() === false) {
                 settle({ end: "withdrawn", status: undefined, detail: "", sent: false });
                 return;
             }
-            await sleep(this.clock, wayMs);
-            model.noteArrival(this.instance);
+            await sleep(this.clock, oneWayDelayMs);
+            model.recordArrival(this.instance);
             if (request.path !== modelProbePath) {
-                model.noteRequest(this.instance);
+                model.recordRequest(this.instance);
             }
             if (request.path === modelProbePath) {
                 model.probes += 1;
-                await answer(200);
+                await respond(200);
                 return;
             }
-            const restMs = model.askForRest(this.instance);
-            if (restMs !== undefined) {
+            const backoffMs = model.requestBackoff(this.instance);
+            if (backoffMs !== undefined) {
                 model.sheds += 1;
-                await answer(503, restMs);
+                await respond(503, backoffMs);
                 return;
             }
-            leave = model.take(() => void answer(200));
-            if (leave === undefined) {
-                await answer(503);
+            abandon = model.accept(() => void respond(200));
+            if (abandon === undefined) {
+                await respond(503);
             }
         };
-        void arrive();
+        void deliver();
         const cancel = (end: "timed-out" | "cancelled"): void => {
-            leave?.();
-            settle({ end, status: undefined, detail: "given up", sent: true });
+            abandon?.();
+            settle({ end, status: undefined, detail: "cancelled", sent: true });
         };
         return { result, cancel, resume: () => undefined };
     }
--- a/packages/daemon/test/model/model-upstream.ts
+++ b/packages/daemon/test/model/model-upstream.ts
@@ -1,175 +1,177 @@
 /**
- * A modelled upstream on a clock of its own.
+ * A modelled upstream with slots, a queue and service times that vary.
  */
 
 import type { Clock, RandomSource, Timer } from "@harrierhitch/core";
-import { LimitJudge } from "./limit-judge.js";
+import { LimitChecker } from "./limit-checker.js";
 
-/** How a modelled upstream behaves. */
+/** Capacity and behaviour of a modelled upstream. */
 export interface ModelUpstreamOptions {
     readonly clock: Clock;
     readonly random: RandomSource;
     readonly slots: number;
-    /** Requests that wait in its own queue before it sheds. */
+    /** Capacity of its queue; it sheds requests beyond that. */
     readonly queue: number;
+    /** Mean service time at low utilization, in milliseconds. */
     readonly workMs: number;
-    /** Share of the slots in use above which work takes longer, and how much. */
+    /** Utilization of the slots above which service times grow by `kneeFactor`. */
     readonly knee?: number;
     readonly kneeFactor?: number;
-    /** Share of the time in which work takes `slowFactor` as long, drawn anew every `drawnEveryMs`. */
+    /** Share of the intervals of `redrawIntervalMs` in which service times grow by `slowFactor`. */
     readonly slowShare?: number;
     readonly slowFactor?: number;
-    readonly drawnEveryMs?: number;
-    /** Whether it tells its load; it does without this. */
-    readonly tellsLoad?: boolean;
+    readonly redrawIntervalMs?: number;
+    /** Whether it reports its load; default `true`. */
+    readonly reportsLoad?: boolean;
 }
 
-/** A time in which an upstream turns all requests away. */
-export interface TurnAway {
+/** A period in which an upstream rejects all requests. */
+export interface RejectionPeriod {
     readonly untilMs: number;
-    /** For how long it wants nothing more from whoever it turns away. */
-    readonly restMs: number;
+    /** Backoff that it requests of each instance that it rejects, in milliseconds. */
+    readonly backoffMs: number;
 }
 
-/** Time after an answer within which requests may still arrive that were on their way when it was sent, in milliseconds. */
-const onTheWayMs = 3;
+/** Time after a response within which requests that were already in transit may arrive, in milliseconds. */
+const inTransitMs = 3;
 
 /** One request at a modelled upstream. */
 interface Job {
-    readonly onEnd: () => void;
+    readonly onComplete: () => void;
 }
 
-/** Serves as many requests as it has slots, keeps some waiting, and sheds the rest. */
+/** Serves as many requests at once as it has slots, queues some more and sheds the others. */
 export class ModelUpstream {
     arrivals = 0;
     probes = 0;
     sheds = 0;
-    mostInFlight = 0;
-    /** Requests and probes that came from an instance which it had asked for a rest. */
-    disturbed = 0;
-    /** Requests that came from an instance to which it had said that it leaves. */
-    late = 0;
-    /** Whether it says that it leaves. */
-    isLeaving = false;
-    private readonly toldLeavingAtMs = new Map<string, number>();
-    /** Set while it turns all requests away. */
-    turnAway: TurnAway | undefined;
-    /** What came while it named how much it takes. */
-    readonly limits = new LimitJudge();
-    /** Its header with how much it takes; `undefined` while it names no limit. */
+    maximumInFlight = 0;
+    /** Requests and probes received from instances during the backoff that it requested of them. */
+    backoffViolations = 0;
+    /** Requests received from instances that it had notified of draining. */
+    requestsWhileDraining = 0;
+    /** Whether it announces that it drains. */
+    isDraining = false;
+    private readonly drainNotifiedAtMs = new Map<string, number>();
+    /** Set while it rejects all requests. */
+    rejection: RejectionPeriod | undefined;
+    /** Checks the requests received against the announced limits. */
+    readonly limits = new LimitChecker();
+    /** Value of its rate limit header; `undefined` while it announces no limit. */
     limitHeader: string | undefined;
-    /** The rests that it asked for, by instance. */
-    private readonly rests = new Map<string, { readonly askedAtMs: number; readonly untilMs: number; }>();
+    /** The backoffs that it requested, by instance. */
+    private readonly backoffs = new Map<string, { readonly sentAtMs: number; readonly untilMs: number; }>();
     private readonly running = new Map<Job, Timer>();
-    private readonly waiting: Job[] = [];
-    private slownessNow = 1;
-    private drawnAtMs = -Infinity;
+    private readonly queued: Job[] = [];
+    private currentSlowdown = 1;
+    private lastDrawAtMs = -Infinity;
 
     constructor(private readonly options: ModelUpstreamOptions) {}
 
-    /** Its load, as it tells it; `undefined` when it does not. */
+    /** Its load report; `undefined` if it reports none. */
     get load(): string | undefined {
-        if (this.options.tellsLoad === false) {
+        if (this.options.reportsLoad === false) {
             return undefined;
         }
-        return [this.running.size, this.waiting.length, this.options.slots, this.slowness].join(",");
+        return [this.running.size, this.queued.length, this.options.slots, this.slowdown].join(",");
     }
 
-    /** Names how many requests a second it takes from now on; `undefined` names none. */
-    nameLimit(perSecond: number | undefined): void {
+    /** Announces a rate limit from now on, in requests per second; `undefined` removes it. */
+    announceLimit(perSecond: number | undefined): void {
         this.limitHeader = perSecond === undefined ? undefined : String(perSecond);
-        this.limits.noteNamed(perSecond, this.options.clock.nowMs());
+        this.limits.recordAnnouncement(perSecond, this.options.clock.nowMs());
     }
 
-    /** Milliseconds for which it wants nothing more from an instance whose request it turns away; `undefined` while it takes them. */
-    askForRest(instance: string): number | undefined {
+    /** Returns the backoff for an instance whose request is rejected, in milliseconds; `undefined` while requests are accepted. */
+    requestBackoff(instance: string): number | undefined {
         const nowMs = this.options.clock.nowMs();
-        if (this.turnAway === undefined || nowMs >= this.turnAway.untilMs) {
+        if (this.rejection === undefined || nowMs >= this.rejection.untilMs) {
             return undefined;
         }
-        const { restMs } = this.turnAway;
-        this.rests.set(instance, { askedAtMs: nowMs, untilMs: nowMs + restMs });
-        return restMs;
+        const { backoffMs } = this.rejection;
+        this.backoffs.set(instance, { sentAtMs: nowMs, untilMs: nowMs + backoffMs });
+        return backoffMs;
     }
 
-    /** Notes that a request or a probe has arrived from an instance. */
-    noteArrival(instance: string): void {
+    /** Records that a request or a probe of an instance has arrived. */
+    recordArrival(instance: string): void {
         const nowMs = this.options.clock.nowMs();
-        const rest = this.rests.get(instance);
-        if (rest !== undefined && nowMs > rest.askedAtMs + onTheWayMs && nowMs < rest.untilMs) {
-            this.disturbed += 1;
+        const backoff = this.backoffs.get(instance);
+        if (backoff !== undefined && nowMs > backoff.sentAtMs + inTransitMs && nowMs < backoff.untilMs) {
+            this.backoffViolations += 1;
         }
     }
 
-    /** Notes that an answer has reached an instance. */
-    noteTold(instance: string): void {
-        this.limits.noteTold(instance, this.options.clock.nowMs());
-        if (this.isLeaving && !this.toldLeavingAtMs.has(instance)) {
-            this.toldLeavingAtMs.set(instance, this.options.clock.nowMs());
+    /** Records that a response has reached an instance. */
+    recordNotified(instance: string): void {
+        this.limits.recordNotified(instance, this.options.clock.nowMs());
+        if (this.isDraining && !this.drainNotifiedAtMs.has(instance)) {
+            this.drainNotifiedAtMs.set(instance, this.options.clock.nowMs());
         }
     }
 
-    /** Notes that a request has arrived from an instance. */
-    noteRequest(instance: string): void {
+    /** Records that a request of an instance has arrived. */
+    recordRequest(instance: string): void {
         const nowMs = this.options.clock.nowMs();
-        this.limits.noteArrival(instance, nowMs);
-        if (nowMs > (this.toldLeavingAtMs.get(instance) ?? Infinity) + onTheWayMs) {
-            this.late += 1;
+        this.limits.recordArrival(instance, nowMs);
+        if (nowMs > (this.drainNotifiedAtMs.get(instance) ?? Infinity) + inTransitMs) {
+            this.requestsWhileDraining += 1;
         }
     }
 
     /**
-     * Takes a request.
+     * Runs or queues a request.
      *
-     * @returns Leaves it again; `undefined` when it was shed.
+     * @param onComplete - Called when it is complete.
+     * @returns A function that abandons it; `undefined` if it was shed.
      */
-    take(onEnd: () => void): (() => void) | undefined {
+    accept(onComplete: () => void): (() => void) | undefined {
         this.arrivals += 1;
-        const job: Job = { onEnd };
+        const job: Job = { onComplete };
         if (this.running.size < this.options.slots) {
-            this.begin(job);
+            this.run(job);
         }
-        else if (this.waiting.length < this.options.queue) {
-            this.waiting.push(job);
+        else if (this.queued.length < this.options.queue) {
+            this.queued.push(job);
         }
         else {
             this.sheds += 1;
             return undefined;
         }
-        this.mostInFlight = Math.max(this.mostInFlight, this.running.size + this.waiting.length);
-        return () => this.leave(job);
+        this.maximumInFlight = Math.max(this.maximumInFlight, this.running.size + this.queued.length);
+        return () => this.remove(job);
     }
 
-    private get slowness(): number {
-        const { clock, random, slowShare = 0, slowFactor = 1, drawnEveryMs = 150 } = this.options;
-        if (clock.nowMs() - this.drawnAtMs >= drawnEveryMs) {
-            this.drawnAtMs = clock.nowMs() - clock.nowMs() % drawnEveryMs;
-            this.slownessNow = random.next() < slowShare ? slowFactor : 1;
+    private get slowdown(): number {
+        const { clock, random, slowShare = 0, slowFactor = 1, redrawIntervalMs = 150 } = this.options;
+        if (clock.nowMs() - this.lastDrawAtMs >= redrawIntervalMs) {
+            this.lastDrawAtMs = clock.nowMs() - clock.nowMs() % redrawIntervalMs;
+            this.currentSlowdown = random.next() < slowShare ? slowFactor : 1;
         }
-        return this.slownessNow;
+        return this.currentSlowdown;
     }
 
-    private begin(job: Job): void {
+    private run(job: Job): void {
         const { clock, random, slots, workMs, knee = 1, kneeFactor = 1 } = this.options;
-        const crowding = (this.running.size + 1) / slots > knee ? kneeFactor : 1;
-        const scatter = 0.6 + 0.8 * random.next();
-        const timer = clock.after(workMs * scatter * crowding * this.slowness, () => {
-            this.leave(job);
-            job.onEnd();
+        const contention = (this.running.size + 1) / slots > knee ? kneeFactor : 1;
+        const jitter = 0.6 + 0.8 * random.next();
+        const timer = clock.after(workMs * jitter * contention * this.slowdown, () => {
+            this.remove(job);
+            job.onComplete();
         });
         this.running.set(job, timer);
     }
 
-    private leave(job: Job): void {
+    private remove(job: Job): void {
         this.running.get(job)?.cancel();
         const wasRunning = this.running.delete(job);
-        const next = wasRunning ? this.waiting.shift() : undefined;
+        const next = wasRunning ? this.queued.shift() : undefined;
         if (next !== undefined) {
-            this.begin(next);
+            this.run(next);
         }
-        const index = this.waiting.indexOf(job);
+        const index = this.queued.indexOf(job);
         if (index >= 0) {
-            this.waiting.splice(index, 1);
+            this.queued.splice(index, 1);
         }
     }
 }
--- a/packages/daemon/test/model/store-network.ts
+++ b/packages/daemon/test/model/peer-network.ts
@@ -1,5 +1,5 @@
 /**
- * The network between modelled instances: it delays, and cuts instances off.
+ * The network between modelled instances, with delays, isolated instances and partitions.
  */
 
 import { fromBinary, toBinary } from "@bufbuild/protobuf";
@@ -8,51 +8,52 @@
 import type { PeerAddress, peerService } from "@harrierhitch/fleet";
 import { PeerService } from "@harrierhitch/protocol";
 
-/** Port of instance 0. */
+/** Port of instance 0; the others follow. */
 export const basePort = 7000;
 
-const hopMs = 2;
+const oneWayDelayMs = 2;
 
 type Service = ReturnType<typeof peerService>;
 
-/** Carries exchanges between instances. */
-export class StoreNetwork {
-    /** Exchanges that arrived. */
+/** Transports exchanges between instances. */
+export class PeerNetwork {
+    /** Number of exchanges that reached their peer. */
     exchanges = 0;
-    /** Bytes that they and their answers had. */
+    /** Bytes of these requests and of their responses. */
     bytes = 0;
     private readonly services = new Map<number, Service>();
 
     constructor(
         private readonly clock: FakeClock,
         private readonly random: SeededRandom,
-        private readonly cutOff: ReadonlySet<number>,
-        /** Whether the way between two instances is cut. */
-        private readonly isSplit: (a: number, b: number) => boolean = () => false,
+        private readonly isolated: ReadonlySet<number>,
+        /** Whether two instances are in different partitions. */
+        private readonly isPartitioned: (a: number, b: number) => boolean = () => false,
     ) {}
 
-    /** Lets an instance be reached. */
-    open(id: number, service: Service): void {
+    /** Makes an instance reachable. */
+    register(id: number, service: Service): void {
         this.services.set(id, service);
     }
 
-    /** Lets an instance no longer be reached. */
-    close(id: number): void {
+    /** Makes an instance unreachable; connections to it are reset. */
+    unregister(id: number): void {
         this.services.delete(id);
     }
 
-    /** The client of one instance, as another one uses it. */
+    /** Returns the client with which an instance calls a peer. */
     client(from: number, peer: PeerAddress): Client<typeof PeerService> {
         const to = peer.port - basePort;
         const { input, output } = PeerService.method.exchange;
-        const isCut = (): boolean => this.cutOff.has(from) || this.cutOff.has(to) || this.isSplit(from, to);
-        const hop = (): Promise<void> => new Promise(resolve => this.clock.after(hopMs * (0.5 + this.random.next()), resolve));
+        const isDisconnected = (): boolean => this.isolated.has(from) || this.isolated.has(to) || this.isPartitioned(from, to);
+        const hop = (): Promise<void> =>
+            new Promise(resolve => this.clock.after(oneWayDelayMs * (0.5 + this.random.next()), resolve));
         const exchange = (request: never, { signal }: { readonly signal?: AbortSignal; } = {}) =>
             new Promise((resolve, reject) => {
-                signal?.addEventListener("abort", () => reject(new TypeError("given up")), { once: true });
+                signal?.addEventListener("abort", () => reject(new TypeError("aborted")), { once: true });
                 void hop().then(async () => {
                     const service = this.services.get(to);
-                    if (isCut()) {
+                    if (isDisconnected()) {
                         return;
                     }
                     if (service === undefined) {
@@ -65,11 +66,11 @@
                     const received = fromBinary(input, sent);
                     const response = await (service.exchange as (message: unknown) => unknown)(received);
                     await hop();
-                    if (!isCut()) {
+                    if (!isDisconnected()) {
                         const message = { $typeName: output.typeName, ...response as object } as never;
-                        const answered = toBinary(output, message);
-                        this.bytes += answered.length;
-                        resolve(fromBinary(output, answered));
+                        const replied = toBinary(output, message);
+                        this.bytes += replied.length;
+                        resolve(fromBinary(output, replied));
                     }
                 }).catch(reject);
             });
--- a/packages/daemon/test/model/store-fleet.ts
+++ b/packages/daemon/test/model/store-fleet.ts
@@ -1,6 +1,5 @@
 /**
- * Many instances that follow one store, on a fake clock: real fleets and real links to the platform, over a network that
- * delays and cuts.
+ * Simulates instances that watch one platform store, with real fleets and platform links on a fake clock.
  */
 
 import { FakeClock, instanceId, SeededRandom, upstreamId } from "@harrierhitch/core";
@@ -10,56 +9,60 @@
 import { PlatformLink } from "../../src/platform/platform-link.js";
 import { type Platform, PlatformError, type Publication } from "../../src/platform/platform.js";
 import { EventLog } from "../../src/telemetry/event-log.js";
-import { silentDirectory } from "./silent-directory.js";
-import { basePort, StoreNetwork } from "./store-network.js";
+import { basePort, PeerNetwork } from "./peer-network.js";
+import { createTestDirectory } from "./test-directory.js";
 
-/** Time for which an instance serves alone at least before it joins the others. */
+/** Shortest time between the start of an instance and its join, in milliseconds. */
 const joinDelayMs = 2000;
 
 const zones = 6;
 const storeDelayMs = 4;
 
-interface Running {
+interface RunningInstance {
     readonly id: number;
     readonly directory: UpstreamDirectory;
     readonly link: PlatformLink;
     readonly startedAtMs: number;
     hasCallers: boolean;
     fleet: Fleet | undefined;
-    ended: boolean;
+    stopped: boolean;
 }
 
-/** A fleet of instances and the store that they read. */
+/** A fleet of instances and the store that they watch. */
 export class StoreFleet {
     readonly clock = new FakeClock();
     readonly random: SeededRandom;
-    readonly instances = new Map<number, Running>();
-    /** Calls to the store; a read that may be old counts a tenth. */
+    readonly instances = new Map<number, RunningInstance>();
+    /** Cost of all calls to the store; a read that may be stale counts a tenth. */
     calls = 0;
-    /** The store's revision, with the time of each. */
+    /** Time at which each revision was published; the index is the revision. */
     readonly publishedAtMs = [0, 0];
-    /** Instances that the store does not serve. */
-    readonly turnedAway = new Set<number>();
-    /** Instances that nobody reaches, though they run. */
-    readonly cutOff = new Set<number>();
+    /** Instances whose calls the store does not serve. */
+    readonly rejected = new Set<number>();
+    /** Running instances without any connection. */
+    readonly isolated = new Set<number>();
     isDown = false;
-    /** Time after which a call that the store does not answer is given up, in milliseconds, beyond the time for which it may wait. */
-    silentCallMs = 500;
-    /** Whether such a call also lasts for as long as it may wait: where a store falls silent, nothing ends it sooner. */
-    isMute = false;
-    private readonly network: StoreNetwork;
+    /** Time until an unanswered call fails, in milliseconds; with `isUnresponsive` it counts from the end of the long poll. */
+    unansweredCallMs = 500;
+    /** Whether an unanswered watch lasts for its full long poll before it fails, as with a store that stops responding. */
+    isUnresponsive = false;
+    private readonly network: PeerNetwork;
 
     /**
-     * @param seed - Of the random source.
-     * @param boundMs - The bound that the fleet has to keep.
-     * @param breaks - Makes a planted fault of each link, to show that the checks see it.
+     * @param seed - The seed of the random source.
+     * @param maximumStalenessMs - Staleness that no instance may exceed.
+     * @param injectFault - Breaks each link, to show that the checks detect it.
      */
-    constructor(seed: number, readonly boundMs: number, private readonly breaks: (link: PlatformLink) => void = () => undefined) {
+    constructor(
+        seed: number,
+        readonly maximumStalenessMs: number,
+        private readonly injectFault: (link: PlatformLink) => void = () => undefined,
+    ) {
         this.random = new SeededRandom(seed);
-        this.network = new StoreNetwork(this.clock, this.random, this.cutOff);
+        this.network = new PeerNetwork(this.clock, this.random, this.isolated);
     }
 
-    /** Exchanges between instances. */
+    /** Number of exchanges between instances. */
     get exchanges(): number {
         return this.network.exchanges;
     }
@@ -74,26 +77,26 @@
         this.publishedAtMs.push(this.clock.nowMs());
     }
 
-    /** Starts an instance, anew if it runs. */
+    /** Starts or restarts an instance. */
     start(id: number): void {
         this.kill(id);
         const { clock, random } = this;
-        const times = fleetTimesFor(this.boundMs);
-        const directory = silentDirectory(clock);
+        const times = fleetTimesFor(this.maximumStalenessMs);
+        const directory = createTestDirectory(clock);
         const instance = {
             fleet: undefined as Fleet | undefined,
             directory,
             recordPlatformFailure: () => undefined,
-            applyPublication: ({ revision, listings, zones }: Publication, isWhole: boolean) => {
+            applyPublication: ({ revision, listings, zones }: Publication, isSnapshot: boolean) => {
                 const before = directory.revision;
-                directory.merge({ revision, isSnapshot: isWhole, entries: listings, zones });
+                directory.merge({ revision, isSnapshot, entries: listings, zones });
                 if (before !== directory.revision) {
                     instance.fleet?.gossipNow();
                 }
             },
         };
         const link = new PlatformLink({
-            platform: this.platformOf(id),
+            platform: this.createPlatform(id),
             clock,
             random,
             instance,
@@ -105,86 +108,86 @@
             hasCallers: () => running.hasCallers,
             checkForStall: () => undefined,
         });
-        this.breaks(link);
-        const running: Running = {
+        this.injectFault(link);
+        const running: RunningInstance = {
             id,
             directory,
             link,
             startedAtMs: clock.nowMs(),
             hasCallers: false,
             fleet: undefined,
-            ended: false,
+            stopped: false,
         };
         this.instances.set(id, running);
         link.start();
         clock.after(joinDelayMs * (1 + 0.5 * random.next()), () => {
-            if (!running.ended) {
+            if (!running.stopped) {
                 instance.fleet = this.join(id, directory);
                 running.fleet = instance.fleet;
             }
         });
     }
 
-    /** Ends an instance at once. */
+    /** Ends an instance without notice to its peers. */
     kill(id: number): void {
         const running = this.instances.get(id);
         if (running !== undefined) {
-            running.ended = true;
+            running.stopped = true;
             running.link.stop();
             running.fleet?.stop();
             this.instances.delete(id);
-            this.network.close(id);
+            this.network.unregister(id);
         }
     }
 
-    /** Ends everything. */
+    /** Ends all instances. */
     stop(): void {
         [...this.instances.keys()].forEach(id => this.kill(id));
     }
 
-    /** Instances with callers that do not know what was published longer ago than some time. */
-    behindBy(ms: number): readonly number[] {
+    /** Returns the instances with callers that lack a revision published longer ago than the given time. */
+    staleInstances(ms: number): readonly number[] {
         const beforeMs = this.clock.nowMs() - ms;
-        const due = this.publishedAtMs.filter(atMs => atMs <= beforeMs).length - 1;
-        return [...this.instances.values()].filter(({ directory, hasCallers }) => hasCallers && directory.revision < due).map((
-            { id },
-        ) => id);
+        const dueRevision = this.publishedAtMs.filter(atMs => atMs <= beforeMs).length - 1;
+        return [...this.instances.values()]
+            .filter(({ directory, hasCallers }) => hasCallers && directory.revision < dueRevision)
+            .map(({ id }) => id);
     }
 
-    private platformOf(id: number): Platform {
+    private createPlatform(id: number): Platform {
         return {
-            read: (_, mayBeStale) => this.answer(id, mayBeStale ? 0.1 : 1, 0),
-            watch: async (revision, signal, waitMs) => {
-                if (this.isMute && !this.serves(id)) {
-                    await new Promise<void>(resolve => this.clock.after(waitMs, resolve));
+            read: (_, mayBeStale) => this.respond(id, mayBeStale ? 0.1 : 1, 0),
+            watch: async (revision, signal, longPollMs) => {
+                if (this.isUnresponsive && !this.serves(id)) {
+                    await new Promise<void>(resolve => this.clock.after(longPollMs, resolve));
                 }
-                const untilMs = this.clock.nowMs() + waitMs;
+                const untilMs = this.clock.nowMs() + longPollMs;
                 while (this.serves(id) && revision >= this.revision && this.clock.nowMs() < untilMs && !signal.aborted) {
                     await new Promise<void>(resolve => this.clock.after(50, resolve));
                 }
-                return await this.answer(id, 1, revision);
+                return await this.respond(id, 1, revision);
             },
         };
     }
 
     private serves(id: number): boolean {
-        return !this.isDown && !this.turnedAway.has(id) && !this.cutOff.has(id);
+        return !this.isDown && !this.rejected.has(id) && !this.isolated.has(id);
     }
 
-    private async answer(id: number, price: number, after: number): Promise<Publication> {
-        this.calls += price;
-        await new Promise<void>(resolve => this.clock.after(this.serves(id) ? storeDelayMs : this.silentCallMs, resolve));
+    private async respond(id: number, cost: number, afterRevision: number): Promise<Publication> {
+        this.calls += cost;
+        await new Promise<void>(resolve => this.clock.after(this.serves(id) ? storeDelayMs : this.unansweredCallMs, resolve));
         if (!this.serves(id)) {
-            throw new PlatformError("the store does not answer");
+            throw new PlatformError("the store did not respond");
         }
         const { revision } = this;
-        const listings = after < revision ? [{ upstream: upstreamId("a"), revision, text: "ready" }] : [];
+        const listings = afterRevision < revision ? [{ upstream: upstreamId("a"), revision, text: "ready" }] : [];
         return { revision, configuration: undefined, listings, zones: [] };
     }
 
     private join(id: number, directory: UpstreamDirectory): Fleet {
         const { clock, random } = this;
-        const never = (): never => {
+        const notUsed = (): never => {
             throw new TypeError("not used");
         };
         const fleet = new Fleet({
@@ -202,7 +205,7 @@
             directory,
             crashes: new CrashHistory({ clock: this.clock }),
             limits: new UpstreamLimits({ clock, instance: `n${id}` }),
-            times: fleetTimesFor(this.boundMs),
+            times: fleetTimesFor(this.maximumStalenessMs),
             onConfiguration: () => undefined,
             onDirectory: () => undefined,
             onDrainMessage: () => undefined,
@@ -212,9 +215,9 @@
             onLimited: () => undefined,
             onUnreachable: () => undefined,
         });
-        this.network.open(
+        this.network.register(
             id,
-            peerService({ fleetName: "test", fleet, explain: never, status: never, onRejected: () => undefined }),
+            peerService({ fleetName: "test", fleet, explain: notUsed, status: notUsed, onRejected: () => undefined }),
         );
         fleet.start();
         return fleet;
--- a/packages/daemon/test/model/silent-directory.ts
+++ b/packages/daemon/test/model/test-directory.ts
@@ -1,12 +1,12 @@
 /**
- * A directory of listed upstreams of which only the revision matters.
+ * A directory of discovered upstreams for tests that need only its revision.
  */
 
 import type { Clock } from "@harrierhitch/core";
 import { UpstreamDirectory } from "@harrierhitch/published";
 
-/** Makes a directory that tells nobody of its changes. */
-export const silentDirectory = (clock: Clock): UpstreamDirectory =>
+/** Creates a directory whose callbacks do nothing. */
+export const createTestDirectory = (clock: Clock): UpstreamDirectory =>
     new UpstreamDirectory({
         clock,
         read: () => ({ value: undefined, findings: [] }),
--- a/packages/daemon/test/calm.test.ts
+++ b/packages/daemon/test/moderate-load.test.ts
@@ -9,7 +9,7 @@
     /** Least share of callers that are answered by their first try. */
     readonly firstTry: number;
     /** Least share that is answered within the target; 0 where work takes longer than that. */
-    readonly inTime: number;
+    readonly shareWithinTarget: number;
     /** Longest median, somewhat above the work: nothing is held for longer than it takes to ask. */
     readonly medianMs: number;
 }
@@ -21,7 +21,7 @@
         upstream: { slots: 1, queue: 3, workMs: 100 },
         perSecond: 12,
         firstTry: 0.98,
-        inTime: 0.98,
+        shareWithinTarget: 0.98,
         medianMs: 130,
     },
     {
@@ -29,7 +29,7 @@
         upstream: { slots: 64, queue: 12, workMs: 200 },
         perSecond: 300,
         firstTry: 0.99,
-        inTime: 0.99,
+        shareWithinTarget: 0.99,
         medianMs: 260,
     },
     {
@@ -37,15 +37,15 @@
         upstream: { slots: 3, queue: 0, workMs: 100 },
         perSecond: 60,
         firstTry: 0.98,
-        inTime: 0.98,
+        shareWithinTarget: 0.98,
         medianMs: 130,
     },
     {
         name: "no word of their load",
-        upstream: { slots: 6, queue: 12, workMs: 200, tellsLoad: false },
+        upstream: { slots: 6, queue: 12, workMs: 200, reportsLoad: false },
         perSecond: 20,
         firstTry: 0.99,
-        inTime: 0.95,
+        shareWithinTarget: 0.95,
         medianMs: 260,
     },
     {
@@ -53,7 +53,7 @@
         upstream: { slots: 6, queue: 12, workMs: 200, slowShare: 1, slowFactor: 4 },
         perSecond: 15,
         firstTry: 0.94,
-        inTime: 0,
+        shareWithinTarget: 0,
         medianMs: 1040,
     },
     {
@@ -61,20 +61,20 @@
         upstream: { slots: 6, queue: 12, workMs: 800 },
         perSecond: 15,
         firstTry: 0.95,
-        inTime: 0,
+        shareWithinTarget: 0,
         medianMs: 1040,
     },
 ];
 
 describe("calm callers at upstreams with", () => {
-    calms.forEach(({ name, upstream, perSecond, firstTry, inTime, medianMs }) => {
+    calms.forEach(({ name, upstream, perSecond, firstTry, shareWithinTarget, medianMs }) => {
         test(`${name} are answered without being held or told to come back`, async () => {
-            const fleet = new ModelFleet({ instances: 5, upstreams: 4, upstream, targetMs: 600, patienceMs: 4000 });
+            const fleet = new ModelFleet({ instances: 5, upstreams: 4, upstream, targetMs: 600, callerTimeoutMs: 4000 });
             await fleet.load(perSecond, 15_000);
             await fleet.clock.advance(8000);
             assert.ok(fleet.medianMs <= medianMs, `median ${fleet.medianMs} ms`);
-            assert.ok(fleet.servedBy(1) >= firstTry, `${fleet.servedBy(1)} by the first try`);
-            assert.ok(fleet.inTime(0, 15_000) >= inTime, `${fleet.inTime(0, 15_000)} in time`);
+            assert.ok(fleet.shareServedWithin(1) >= firstTry, `${fleet.shareServedWithin(1)} by the first try`);
+            assert.ok(fleet.shareWithinTarget(0, 15_000) >= shareWithinTarget, `${fleet.shareWithinTarget(0, 15_000)} in time`);
         });
     });
 });
--- a/packages/daemon/test/platform-link.test.ts
+++ b/packages/daemon/test/platform-link.test.ts
@@ -9,7 +9,7 @@
 import { PlatformLink } from "../src/platform/platform-link.js";
 import { type Platform, PlatformError, type Publication } from "../src/platform/platform.js";
 import { EventLog } from "../src/telemetry/event-log.js";
-import { silentDirectory } from "./model/silent-directory.js";
+import { createTestDirectory } from "./model/test-directory.js";
 
 const watchMs = 4000;
 
@@ -62,7 +62,7 @@
 const open = async (others: readonly string[], hasJoined = true) => {
     const clock = new FakeClock();
     const platform = new FakePlatform(clock);
-    const directory = silentDirectory(clock);
+    const directory = createTestDirectory(clock);
     const random = new SeededRandom(1);
     const never = (): never => {
         throw new TypeError("not used");
@@ -105,8 +105,8 @@
             fleet: hasJoined ? fleet : undefined,
             directory,
             recordPlatformFailure: () => undefined,
-            applyPublication: ({ revision, listings, zones }, isWhole) =>
-                directory.merge({ revision, isSnapshot: isWhole, entries: listings, zones }),
+            applyPublication: ({ revision, listings, zones }, isSnapshot) =>
+                directory.merge({ revision, isSnapshot, entries: listings, zones }),
         },
         log: new EventLog({ level: "silent" }),
         retryMs: 250,
@@ -122,7 +122,7 @@
 };
 
 /** The name of a member that is the reader beside `self`, or is not. */
-const nameThat = (isReader: boolean): string => {
+const memberName = (isReader: boolean): string => {
     const names = Array.from({ length: 50 }, (_, index) => `other-${index}`);
     return names.find(name => {
         const members = [member("self", 1), member(name, 1)];
@@ -142,7 +142,7 @@
         assert.ok(fleet.stalenessTracker.stalenessMs >= 6000, `${fleet.stalenessTracker.stalenessMs} ms`);
     });
 
-    test("that is alone watches for as long as its settings say", async () => {
+    test("that is alone detectors for as long as its settings say", async () => {
         const { clock, platform, link } = await open([]);
         await clock.advance(9000);
         link.stop();
@@ -150,7 +150,7 @@
     });
 
     test("that reads for others confirms what it knows once a second", async () => {
-        const { clock, platform, link, fleet } = await open([nameThat(false)]);
+        const { clock, platform, link, fleet } = await open([memberName(false)]);
         await clock.advance(3100);
         link.stop();
         assert.deepEqual(platform.calls.slice(1), ["watch 1000", "watch 1000", "watch 1000"]);
@@ -158,7 +158,7 @@
     });
 
     test("that hears from a reader does not ask the platform, and does so at once when that has told nothing for 1.5 s", async () => {
-        const { clock, platform, link, fleet } = await open([nameThat(true)]);
+        const { clock, platform, link, fleet } = await open([memberName(true)]);
         for (let told = 0; told < 3; told += 1) {
             await clock.advance(1000);
             fleet.stalenessTracker.confirm(0);
@@ -179,7 +179,7 @@
     });
 
     test("that is no reader tries every two seconds or so while the platform is down", async () => {
-        const { clock, platform, link } = await open([nameThat(true)]);
+        const { clock, platform, link } = await open([memberName(true)]);
         await clock.advance(100);
         platform.isDown = true;
         await clock.advance(3900);
--- a/packages/daemon/test/quarantine-trials.test.ts
+++ b/packages/daemon/test/quarantine-trials.test.ts
@@ -20,12 +20,12 @@
 /** Some instances that tell each other of every run a while later. */
 class Instances {
     readonly clock = new FakeClock();
-    readonly watches: readonly CrashDetector[];
+    readonly detectors: readonly CrashDetector[];
     private requests = 0;
 
-    constructor(count: number, private readonly wayMs = 500, chosen: (pattern: RequestSignature) => number = () => 0) {
+    constructor(count: number, private readonly oneWayDelayMs = 500, chosen: (pattern: RequestSignature) => number = () => 0) {
         const { clock } = this;
-        this.watches = Array.from({ length: count }, (_, index) =>
+        this.detectors = Array.from({ length: count }, (_, index) =>
             new CrashDetector({
                 clock,
                 log: new EventLog({ level: "silent", clock }),
@@ -41,16 +41,16 @@
     }
 
     isSent(index: number, request = this.newRequest()): boolean {
-        return !this.watches[index]!.shouldQuarantine(request, asked);
+        return !this.detectors[index]!.shouldQuarantine(request, asked);
     }
 
     /** An upstream ends under the request at an instance. */
     end(index: number, request = this.newRequest()): void {
-        this.watches[index]!.recordCrash({ request, attempt: 1, key, upstream: `u${this.requests}` as never, ranMs: 50 });
-        this.watches[index]!.recordCompleted(request, true);
+        this.detectors[index]!.recordCrash({ request, attempt: 1, key, upstream: `u${this.requests}` as never, ranMs: 50 });
+        this.detectors[index]!.recordCompleted(request, true);
     }
 
-    async endThree(): Promise<void> {
+    async crashThreeTimes(): Promise<void> {
         for (const index of [0, 0, 0]) {
             this.end(index);
             await this.clock.advance(1000);
@@ -58,9 +58,9 @@
     }
 
     private tell(from: number): void {
-        this.clock.after(this.wayMs, () => {
-            const { history: ledger } = this.watches[from]!;
-            this.watches.forEach(({ history: other }) =>
+        this.clock.after(this.oneWayDelayMs, () => {
+            const { history: ledger } = this.detectors[from]!;
+            this.detectors.forEach(({ history: other }) =>
                 other === ledger || other.merge(ledger.recentEntries(other.quarantined, false), ledger.quarantined)
             );
         });
@@ -70,7 +70,7 @@
 describe("a request that is withheld", () => {
     test("is tried once after half a minute, by the one instance that is chosen", async () => {
         const instances = new Instances(3, 500, () => 1);
-        await instances.endThree();
+        await instances.crashThreeTimes();
         await instances.clock.advance(trialAfterMs - 1001);
         assert.deepEqual([0, 1, 2].map(index => instances.isSent(index)), [false, false, false]);
         await instances.clock.advance(1000);
@@ -79,17 +79,17 @@
         assert.equal(instances.isSent(1, trial), true);
         assert.equal(instances.isSent(1, trial), true, "the one that tries goes on");
         assert.equal(instances.isSent(1), false, "a second one waits for its answer");
-        assert.equal(instances.watches[1]!.allowsHedge(trial, asked), false);
+        assert.equal(instances.detectors[1]!.allowsHedge(trial, asked), false);
     });
 
     test("is sent by all again once the trial is answered", async () => {
         const instances = new Instances(3);
-        await instances.endThree();
+        await instances.crashThreeTimes();
         await instances.clock.advance(trialAfterMs);
         const trial = instances.newRequest();
         assert.equal(instances.isSent(0, trial), true);
-        instances.watches[0]!.recordSuccess(key);
-        instances.watches[0]!.recordCompleted(trial, true);
+        instances.detectors[0]!.recordSuccess(key);
+        instances.detectors[0]!.recordCompleted(trial, true);
         await instances.clock.advance(1000);
         assert.deepEqual([0, 1, 2].map(index => instances.isSent(index)), [true, true, true]);
     });
@@ -97,14 +97,14 @@
     test("is not tried again when the trial has ended an upstream, or has brought nothing", async () => {
         for (const ends of [true, false]) {
             const instances = new Instances(1);
-            await instances.endThree();
+            await instances.crashThreeTimes();
             await instances.clock.advance(trialAfterMs);
             const trial = instances.newRequest();
             assert.equal(instances.isSent(0, trial), true);
             if (ends) {
                 instances.end(0, trial);
             }
-            instances.watches[0]!.recordCompleted(trial, true);
+            instances.detectors[0]!.recordCompleted(trial, true);
             for (let minute = 0; minute < 55; minute += 1) {
                 assert.equal(instances.isSent(0), false, `after ${minute} minutes`);
                 await instances.clock.advance(60_000);
@@ -114,11 +114,11 @@
 
     test("is tried by the next one when the first was not run", async () => {
         const instances = new Instances(1);
-        await instances.endThree();
+        await instances.crashThreeTimes();
         await instances.clock.advance(trialAfterMs);
         const trial = instances.newRequest();
         assert.equal(instances.isSent(0, trial), true);
-        instances.watches[0]!.recordCompleted(trial, false);
+        instances.detectors[0]!.recordCompleted(trial, false);
         assert.equal(instances.isSent(0), true);
     });
 
@@ -127,7 +127,7 @@
             const random = new SeededRandom(seed);
             let chosen = 0;
             const instances = new Instances(13, 700, () => chosen);
-            await instances.endThree();
+            await instances.crashThreeTimes();
             await instances.clock.advance(3000);
             let sent = 0;
             for (let repeat = 0; repeat < 3000; repeat += 1) {
--- a/packages/daemon/test/start.test.ts
+++ b/packages/daemon/test/startup.test.ts
@@ -9,29 +9,29 @@
         upstreams: 8,
         upstream: { slots: 3, queue: 6, workMs: 100 },
         targetMs: 500,
-        patienceMs: 4000,
+        callerTimeoutMs: 4000,
         startsUnconfigured: true,
     });
 
 describe("callers of instances that have just started", () => {
     test("wait for the first answer of the platform, and are served in time by their first try", async () => {
         const fleet = start();
-        await fleet.callers(20);
+        await fleet.startCallers(20);
         await fleet.clock.advance(80);
         fleet.publish();
         await fleet.clock.advance(0);
         await fleet.clock.advance(3000);
         assert.equal(fleet.results.length, 20);
-        assert.equal(fleet.servedBy(1), 1);
-        assert.ok(fleet.inTime(0, 1) > 0.95, `${fleet.inTime(0, 1)} in time`);
+        assert.equal(fleet.shareServedWithin(1), 1);
+        assert.ok(fleet.shareWithinTarget(0, 1) > 0.95, `${fleet.shareWithinTarget(0, 1)} in time`);
     });
 
     test("are refused at once when the platform fails", async () => {
         const fleet = start();
-        const before = fleet.ask(4000);
+        const before = fleet.sendRequest(4000);
         await fleet.clock.advance(50);
         fleet.failPlatform();
-        const after = fleet.ask(4000);
+        const after = fleet.sendRequest(4000);
         await fleet.clock.advance(0);
         assert.deepEqual([(await before).status, (await after).status], [503, 503]);
         assert.equal(fleet.clock.nowMs(), 50);
@@ -39,7 +39,7 @@
 
     test("are refused after half a second when nothing answers", async () => {
         const fleet = start();
-        const asked = fleet.ask(4000);
+        const asked = fleet.sendRequest(4000);
         await fleet.clock.advance(0);
         await fleet.clock.advance(500);
         await fleet.clock.advance(0);
@@ -49,7 +49,7 @@
     test("are as many as a start can keep; the next is refused at once", async () => {
         const fleet = start();
         const statuses: number[] = [];
-        Array.from({ length: 4 * 600 }, () => void fleet.ask(4000).then(({ status }) => statuses.push(status)));
+        Array.from({ length: 4 * 600 }, () => void fleet.sendRequest(4000).then(({ status }) => statuses.push(status)));
         await fleet.clock.advance(0);
         assert.ok(statuses.length > 0 && statuses.every(status => status === 503));
         fleet.publish();
--- a/packages/daemon/test/store-calls.test.ts
+++ b/packages/daemon/test/store-calls.test.ts
@@ -1,15 +1,15 @@
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
-import { bringCallers, pass, startAll } from "./model/store-day.js";
+import { advanceAndPublish, enableCallers, startFleet } from "./model/store-scenario.js";
 
 describe("the store is called", () => {
     [23, 312].forEach(count => {
         test(`rarely by ${count} instances that start together, wait for callers and serve them for 15 s`, async () => {
-            const fleet = startAll(count);
-            await pass(fleet, 12, 0);
-            bringCallers(fleet);
+            const fleet = startFleet(count);
+            await advanceAndPublish(fleet, 12, 0);
+            enableCallers(fleet);
             const atStart = fleet.calls;
-            const behind = await pass(fleet, 15, 4);
+            const behind = await advanceAndPublish(fleet, 15, 4);
             fleet.stop();
             assert.deepEqual(behind, []);
             assert.ok(atStart < 30 + count * 0.5, `${atStart} calls before callers came`);
@@ -20,11 +20,11 @@
     test("no oftener for each of 99 instances than for each of 23", async () => {
         const rates = [];
         for (const count of [23, 99]) {
-            const fleet = startAll(count);
-            await pass(fleet, 12, 0);
-            bringCallers(fleet);
+            const fleet = startFleet(count);
+            await advanceAndPublish(fleet, 12, 0);
+            enableCallers(fleet);
             const before = fleet.exchanges;
-            await pass(fleet, 10, 0);
+            await advanceAndPublish(fleet, 10, 0);
             fleet.stop();
             rates.push((fleet.exchanges - before) / 10 / count);
         }
--- a/packages/daemon/test/store-third.test.ts
+++ b/packages/daemon/test/store-partial-outage.test.ts
@@ -7,28 +7,28 @@
 
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
-import { bringCallers, pass, readersAmong, startAll } from "./model/store-day.js";
+import { advanceAndPublish, currentReaders, enableCallers, startFleet } from "./model/store-scenario.js";
 
 /** Calls that each instance may make in 12 s: the fewest that keep the bound without any source are five. */
-const callsEach = 5;
+const maximumCallsPerInstance = 5;
 
 describe("no instance falls behind by more than the bound while the store is silent for all readers and a share of the others:", () => {
     [[40, 0.35], [99, 0.35], [99, 0.6], [99, 0.8]].forEach(([size = 0, share = 0]) =>
         [1, 2, 3, 5].forEach(seed => {
             test(`${share} of ${size} instances, seed ${seed}`, async () => {
-                const fleet = startAll(size, { seed });
-                fleet.isMute = true;
-                fleet.silentCallMs = 1000;
-                await pass(fleet, 14, 0);
-                bringCallers(fleet);
-                await pass(fleet, 4, 1);
+                const fleet = startFleet(size, { seed });
+                fleet.isUnresponsive = true;
+                fleet.unansweredCallMs = 1000;
+                await advanceAndPublish(fleet, 14, 0);
+                enableCallers(fleet);
+                await advanceAndPublish(fleet, 4, 1);
                 const before = fleet.calls;
-                readersAmong(fleet).forEach(id => fleet.turnedAway.add(id));
-                fleet.instances.forEach(({ id }) => fleet.random.next() < share && fleet.turnedAway.add(id));
-                const behind = await pass(fleet, 12, 6);
+                currentReaders(fleet).forEach(id => fleet.rejected.add(id));
+                fleet.instances.forEach(({ id }) => fleet.random.next() < share && fleet.rejected.add(id));
+                const behind = await advanceAndPublish(fleet, 12, 6);
                 fleet.stop();
                 assert.deepEqual(behind, []);
-                assert.ok(fleet.calls - before < callsEach * size, `${fleet.calls - before} calls`);
+                assert.ok(fleet.calls - before < maximumCallsPerInstance * size, `${fleet.calls - before} calls`);
             });
         })
     );
