--- a/packages/daemon/test/backoff.test.ts
+++ b/packages/daemon/test/backoff.test.ts
@@ -1,7 +1,5 @@
 /**
- * Two of seven upstreams turned everything away and asked each instance for three seconds of rest; the instances sent them
- * 231 requests in the next four seconds, and refused 210 callers although the other five had room. An upstream that turns everything
- * away is idle and tells so, and nothing read that it had asked to be left alone.
+ * Guards against sending requests or probes to an upstream that requested a backoff, although it looks idle.
  */
 
 import { SeededRandom } from "@harrierhitch/core";
@@ -18,11 +16,11 @@
 };
 
 const upstreamsOf = (fleet: ModelFleet) => [...fleet.upstreams.values()];
-const backoffViolations = (fleet: ModelFleet): number =>
+const violations = (fleet: ModelFleet): number =>
     upstreamsOf(fleet).reduce((sum, upstream) => sum + upstream.backoffViolations, 0);
 
-describe("upstreams that turn requests away and ask for a rest", () => {
-    test("get nothing from the instances that they asked, and callers are served by the others", async () => {
+describe("upstreams that reject requests and request a backoff", () => {
+    test("receive nothing from instances that back off, and callers are served by the others", async () => {
         const fleet = new ModelFleet(fleetOptions);
         await fleet.load(60, 3000);
         upstreamsOf(fleet).slice(0, 2).forEach(upstream => {
@@ -30,12 +28,12 @@
         });
         await fleet.load(60, 9000);
         await fleet.clock.advance(4000);
-        assert.equal(backoffViolations(fleet), 0);
+        assert.equal(violations(fleet), 0);
         const shareWithinTarget = fleet.shareWithinTarget(3000, 12_000);
-        assert.ok(shareWithinTarget > 0.97, `in time: ${shareWithinTarget}`);
+        assert.ok(shareWithinTarget > 0.97, `within the target: ${shareWithinTarget}`);
     });
 
-    test("take work again after it", async () => {
+    test("receive requests again after it", async () => {
         const fleet = new ModelFleet(fleetOptions);
         await fleet.load(60, 1000);
         const [first] = upstreamsOf(fleet);
@@ -43,10 +41,10 @@
         await fleet.load(60, 3000);
         const before = first!.arrivals;
         await fleet.load(60, 4000);
-        assert.ok(first!.arrivals - before > 10, `${first!.arrivals - before} requests after the rest`);
+        assert.ok(first!.arrivals - before > 10, `${first!.arrivals - before} requests after the backoff`);
     });
 
-    test("get nothing that was still waiting for its connection when they asked", async () => {
+    test("don't receive requests that were waiting for a connection when the backoff began", async () => {
         const fleet = new ModelFleet({ ...fleetOptions, instances: 1, upstreams: 1, connectMs: 20 });
         const [only] = upstreamsOf(fleet);
         await fleet.load(20, 4000);
@@ -62,7 +60,7 @@
     });
 
     Array.from({ length: 20 }, (_, seed) => seed + 1).forEach(seed => {
-        test(`are left alone at whatever moments they ask, seed ${seed}`, async () => {
+        test(`receive nothing during backoffs that begin at random times, seed ${seed}`, async () => {
             const random = new SeededRandom(seed);
             const fleet = new ModelFleet({ ...fleetOptions, seed });
             for (let round = 0; round < 8; round += 1) {
@@ -73,51 +71,54 @@
                 await fleet.load(20 + 100 * random.next(), 500 + 1500 * random.next());
             }
             await fleet.clock.advance(4000);
-            assert.equal(backoffViolations(fleet), 0);
+            assert.equal(violations(fleet), 0);
             assert.equal(fleet.results.length, fleet.callersStarted);
         });
     });
 });
 
-describe("while all upstreams rest", () => {
-    test("callers are turned away at once, and told when the rest ends, not all the same moment", async () => {
+describe("while all upstreams back off", () => {
+    test("callers are rejected at once with staggered Retry-After times after the backoff", async () => {
         const fleet = new ModelFleet({ ...fleetOptions, instances: 1 });
         await fleet.load(60, 2000);
         upstreamsOf(fleet).forEach(upstream => {
             upstream.rejection = { untilMs: fleet.clock.nowMs() + 1000, backoffMs: 30_000 };
         });
         await fleet.load(60, 1000);
-        const asked = () => upstreamsOf(fleet).map(({ arrivals, probes }) => [arrivals, probes]);
-        const before = asked();
+        const received = () => upstreamsOf(fleet).map(({ arrivals, probes }) => [arrivals, probes]);
+        const before = received();
         const sentAtMs = fleet.clock.nowMs();
-        const asks = Array.from(
+        const pending = Array.from(
             { length: 20 },
-            () => fleet.sendRequest(1100).then(answer => ({ ...answer, atMs: fleet.clock.nowMs() })),
+            () => fleet.sendRequest(1100).then(response => ({ ...response, atMs: fleet.clock.nowMs() })),
         );
         await fleet.clock.advance(0);
         await fleet.clock.advance(2000);
-        const answers = await Promise.all(asks);
-        assert.deepEqual(asked(), before);
-        assert.deepEqual(answers.map(({ status, atMs }) => [status, atMs - sentAtMs]), answers.map(() => [503, 0]));
-        const retryAfterTimesMs = answers.map(({ retryAfterMs }) => retryAfterMs);
-        assert.ok(Math.min(...retryAfterTimesMs) > 28_000, `told to come back after ${Math.min(...retryAfterTimesMs)} ms`);
-        assert.ok(new Set(retryAfterTimesMs).size > 15, "told to come back at the same moment");
+        const responses = await Promise.all(pending);
+        assert.deepEqual(received(), before);
+        assert.deepEqual(responses.map(({ status, atMs }) => [status, atMs - sentAtMs]), responses.map(() => [503, 0]));
+        const retryAfterTimesMs = responses.map(({ retryAfterMs }) => retryAfterMs);
+        assert.ok(Math.min(...retryAfterTimesMs) > 28_000, `shortest Retry-After: ${Math.min(...retryAfterTimesMs)} ms`);
+        assert.ok(new Set(retryAfterTimesMs).size > 15, "Retry-After times are not staggered");
     });
 
-    test("a caller waits where the rest ends in time", async () => {
+    test("a request waits if the backoff ends in time", async () => {
         const fleet = new ModelFleet({ ...fleetOptions, instances: 1, upstreams: 1 });
         await fleet.load(20, 4000);
         await fleet.clock.advance(1000);
         const [only] = upstreamsOf(fleet);
         only!.rejection = { untilMs: fleet.clock.nowMs() + 50, backoffMs: 60 };
         const sentAtMs = fleet.clock.nowMs();
-        const ask = fleet.sendRequest(1100).then(({ status }) => ({ status, tookMs: fleet.clock.nowMs() - sentAtMs }));
+        const response = fleet.sendRequest(1100).then(({ status }) => ({
+            status,
+            responseTimeMs: fleet.clock.nowMs() - sentAtMs,
+        }));
         await fleet.clock.advance(0);
         await fleet.clock.advance(2000);
-        const { status, tookMs } = await ask;
+        const { status, responseTimeMs } = await response;
         assert.equal(only!.sheds, 1);
         assert.equal(status, 200);
-        assert.ok(tookMs > 60 && tookMs < fleetOptions.targetMs, `${tookMs} ms`);
-        assert.equal(backoffViolations(fleet), 0);
+        assert.ok(responseTimeMs > 60 && responseTimeMs < fleetOptions.targetMs, `${responseTimeMs} ms`);
+        assert.equal(violations(fleet), 0);
     });
 });
--- a/packages/daemon/test/budgets.test.ts
+++ b/packages/daemon/test/budgets.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against probes and retries beyond their budgets, and against traffic splits that drift from their shares.
+ */
+
 import { FakeClock, upstreamId } from "@harrierhitch/core";
 import { RetryBudget } from "@harrierhitch/decision";
 import fc from "fast-check";
@@ -6,11 +10,11 @@
 import { LowDiscrepancySequence } from "../src/low-discrepancy-sequence.js";
 import { ProbeBudget } from "../src/upstream/probe-budget.js";
 
-/** Seconds for which probes are saved up; the most that any window may see beyond its own share. */
+/** Burst of the probe budget, in seconds of its rate. */
 const burstSeconds = 6;
 
-test("no schedule takes more probes of an upstream out of a budget than its share and what is saved", async () => {
-    const step = fc.record({ waitMs: fc.integer({ min: 0, max: 400 }), wanted: fc.integer({ min: 0, max: 8 }) });
+test("no sequence of requests gets more probes of an upstream than the rate and the burst allow", async () => {
+    const step = fc.record({ waitMs: fc.integer({ min: 0, max: 400 }), requested: fc.integer({ min: 0, max: 8 }) });
     await fc.assert(
         fc.asyncProperty(
             fc.array(step, { minLength: 1, maxLength: 60 }),
@@ -20,47 +24,47 @@
                 const budget = new ProbeBudget(clock);
                 budget.configure(perSecond);
                 const startMs = clock.nowMs();
-                let taken = 0;
-                for (const { waitMs, wanted } of steps) {
+                let granted = 0;
+                for (const { waitMs, requested } of steps) {
                     await clock.advance(waitMs);
-                    taken += Array.from({ length: wanted }, () => budget.take(upstreamId("a"))).filter(Boolean).length;
+                    granted += Array.from({ length: requested }, () => budget.take(upstreamId("a"))).filter(Boolean).length;
                 }
                 const allowed = perSecond * ((clock.nowMs() - startMs) / 1000 + burstSeconds) + 1;
-                assert.ok(taken <= allowed, `${taken} of ${allowed}`);
+                assert.ok(granted <= allowed, `${granted} of ${allowed}`);
             },
         ),
         { seed: 11, numRuns: 200 },
     );
 });
 
-test("in no window do second attempts exceed what its requests earned and what was saved", () => {
+test("in no window do retries exceed the share of its requests and the burst", () => {
     fc.assert(
         fc.property(fc.array(fc.constantFrom("request", "retry"), { maxLength: 400 }), events => {
             const share = 0.17;
-            const saved = 1.4;
+            const burst = 1.4;
             const budget = new RetryBudget({ ratio: share });
-            budget.configure(share, saved);
-            const taken = events.map(event => {
+            budget.configure(share, burst);
+            const outcomes = events.map(event => {
                 if (event === "request") {
                     budget.deposit();
                     return "request";
                 }
                 return budget.tryWithdraw() ? "retry" : "none";
             });
-            for (let from = 0; from < taken.length; from += 7) {
-                const window = taken.slice(from, from + 50);
+            for (let from = 0; from < outcomes.length; from += 7) {
+                const window = outcomes.slice(from, from + 50);
                 const requests = window.filter(event => event === "request").length;
                 const retries = window.filter(event => event === "retry").length;
-                assert.ok(retries <= requests * share + saved + 1e-6, `${retries} for ${requests}`);
+                assert.ok(retries <= requests * share + burst + 1e-6, `${retries} for ${requests}`);
             }
         }),
         { seed: 12, numRuns: 200 },
     );
 });
 
-test("any stretch of spread draws holds the shares of a split", () => {
-    const draws = new LowDiscrepancySequence({ next: () => 0.77 });
-    const numbers = Array.from({ length: 300 }, () => draws.next("route"));
+test("any part of a low-discrepancy sequence keeps the shares of a split", () => {
+    const sequence = new LowDiscrepancySequence({ next: () => 0.77 });
+    const numbers = Array.from({ length: 300 }, () => sequence.next("route"));
     [0, 50, 130].forEach(from => {
         const share = numbers.slice(from, from + 60).filter(number => number < 0.9).length / 60;
         assert.ok(Math.abs(share - 0.9) < 0.05, `${share}`);
--- a/packages/daemon/test/burst.test.ts
+++ b/packages/daemon/test/burst.test.ts
@@ -1,8 +1,12 @@
+/**
+ * Guards against a backlog that outlasts a burst, and against instances that fill the upstreams' queues together.
+ */
+
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import { ModelFleet } from "./model/model-fleet.js";
 
-/** 4 upstreams answer 4 × 4 / 0.2 = 80 requests a second where they are filled up to their knee, and 71 when they are full. */
+/** The 4 upstreams serve 4 × 4 / 0.2 = 80 requests per second at the utilization of their knee, and 71 when all slots are in use. */
 const fleetOptions = {
     instances: 5,
     upstreams: 4,
@@ -20,11 +24,11 @@
     callerTimeoutMs: 4000,
 };
 
-const sum = (fleet: ModelFleet, figure: "arrivals" | "sheds"): number =>
-    [...fleet.upstreams.values()].reduce((total, upstream) => total + upstream[figure], 0);
+const sum = (fleet: ModelFleet, counter: "arrivals" | "sheds"): number =>
+    [...fleet.upstreams.values()].reduce((total, upstream) => total + upstream[counter], 0);
 
-describe("a rush at upstreams with a knee, a queue of their own and a pace that jumps", () => {
-    test("leaves no backlog behind: answers are in time again three seconds after it", async () => {
+describe("a burst at upstreams with a knee, a queue and varying service times", () => {
+    test("leaves no backlog: responses are in time again three seconds after it", async () => {
         const fleet = new ModelFleet(fleetOptions);
         await fleet.load(35, 8000);
         await fleet.load(120, 4000);
@@ -32,24 +36,24 @@
         await fleet.clock.advance(8000);
         const before = fleet.shareWithinTarget(3000, 8000);
         const after = fleet.shareWithinTarget(15_000, 20_000);
-        assert.ok(before > 0.95, `in time before the rush: ${before}`);
-        assert.ok(after > 0.95, `in time after the rush: ${after}`);
+        assert.ok(before > 0.95, `within the target before the burst: ${before}`);
+        assert.ok(after > 0.95, `within the target after the burst: ${after}`);
     });
 
-    test("is served near to what the upstreams can do, without filling their queues", async () => {
+    test("is served near the upstreams' capacity, without filling their queues", async () => {
         const fleet = new ModelFleet(fleetOptions);
         await fleet.load(35, 8000);
         await fleet.load(120, 4000);
         await fleet.clock.advance(8000);
         const shareWithinTarget = fleet.shareWithinTarget(8000, 12_000);
-        assert.ok(shareWithinTarget > 0.35, `in time during the rush: ${shareWithinTarget}`);
+        assert.ok(shareWithinTarget > 0.35, `within the target during the burst: ${shareWithinTarget}`);
         assert.ok(
             sum(fleet, "sheds") / sum(fleet, "arrivals") < 0.02,
             `${sum(fleet, "sheds")} of ${sum(fleet, "arrivals")} shed`,
         );
     });
 
-    test("every caller gets an answer", async () => {
+    test("every caller gets a response", async () => {
         const fleet = new ModelFleet({ ...fleetOptions, seed: 3 });
         await fleet.load(150, 3000);
         await fleet.clock.advance(10_000);
@@ -57,7 +61,7 @@
         assert.equal(fleet.results.length, fleet.callersStarted);
     });
 
-    test("many instances at many upstreams do not fill them all at once", async () => {
+    test("many instances do not fill many upstreams at the same time", async () => {
         const { upstream } = fleetOptions;
         const fleet = new ModelFleet({ ...fleetOptions, instances: 17, upstreams: 13, upstream: { ...upstream, workMs: 220 } });
         await fleet.load(107, 8000);
@@ -66,10 +70,10 @@
         await fleet.clock.advance(8000);
         const during = fleet.shareWithinTarget(8000, 12_000);
         const after = fleet.shareWithinTarget(12_500, 15_000);
-        const most = Math.max(...[...fleet.upstreams.values()].map(({ maximumInFlight }) => maximumInFlight));
-        assert.ok(during > 0.55, `in time during the rush: ${during}`);
-        assert.ok(after > 0.9, `in time right after it: ${after}`);
-        assert.ok(most <= 12, `${most} at one upstream`);
+        const maximum = Math.max(...[...fleet.upstreams.values()].map(({ maximumInFlight }) => maximumInFlight));
+        assert.ok(during > 0.55, `within the target during the burst: ${during}`);
+        assert.ok(after > 0.9, `within the target right after it: ${after}`);
+        assert.ok(maximum <= 12, `${maximum} at one upstream`);
         assert.ok(
             sum(fleet, "sheds") / sum(fleet, "arrivals") < 0.02,
             `${sum(fleet, "sheds")} of ${sum(fleet, "arrivals")} shed`,
--- a/packages/daemon/test/caller-response.test.ts
+++ b/packages/daemon/test/caller-response.test.ts
@@ -1,33 +1,37 @@
+/**
+ * Guards against pipelined responses out of order, and against waiting for a connection that is closed.
+ */
+
 import assert from "node:assert/strict";
 import { EventEmitter } from "node:events";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { test } from "node:test";
 import { CallerResponse } from "../src/request/caller-response.js";
 
-/** A response behind others on its connection: it has no socket yet. */
+/** Creates a response that waits behind others on its connection and has no socket yet. */
 const start = () => {
     const socket = Object.assign(new EventEmitter(), { destroyed: false });
     const response = Object.assign(new EventEmitter(), { socket: null, writableFinished: false });
-    const answer = new CallerResponse({ socket } as unknown as IncomingMessage, response as unknown as ServerResponse);
-    return { response, answer };
+    const callerResponse = new CallerResponse({ socket } as unknown as IncomingMessage, response as unknown as ServerResponse);
+    return { response, callerResponse };
 };
 
-test("it is a request's turn when its response gets the connection", async () => {
-    const { response, answer } = start();
-    const turn = answer.awaitPipelineOrder();
+test("a response may be sent once it is assigned the connection", async () => {
+    const { response, callerResponse } = start();
+    const canSend = callerResponse.awaitPipelineOrder();
     response.emit("socket");
-    assert.equal(await turn, true);
+    assert.equal(await canSend, true);
 });
 
-test("it is never its turn when the connection ends before", async () => {
-    const { response, answer } = start();
-    const turn = answer.awaitPipelineOrder();
+test("a response is not sent if the connection closes while it waits", async () => {
+    const { response, callerResponse } = start();
+    const canSend = callerResponse.awaitPipelineOrder();
     response.emit("close");
-    assert.equal(await turn, false);
+    assert.equal(await canSend, false);
 });
 
-test("it is never its turn when the connection had ended before it asked", async () => {
-    const { response, answer } = start();
+test("a response is not sent if the connection closed before it waits", async () => {
+    const { response, callerResponse } = start();
     response.emit("close");
-    assert.equal(await answer.awaitPipelineOrder(), false);
+    assert.equal(await callerResponse.awaitPipelineOrder(), false);
 });
--- a/packages/daemon/test/components.test.ts
+++ b/packages/daemon/test/components.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against an unfair queue of held requests, forwarded hop-by-hop headers, missed stalls and unbounded span export.
+ */
+
 import { FakeClock } from "@harrierhitch/core";
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
@@ -6,7 +10,8 @@
 import { StallDetector } from "../src/stall-detector.js";
 import { SpanQueue } from "../src/telemetry/span-queue.js";
 
-const stays = () => () => undefined;
+/** Registers no handler: the caller stays connected. */
+const onDisconnect = () => () => undefined;
 
 describe("the queue of held requests", () => {
     const start = () => {
@@ -15,11 +20,11 @@
         const results: string[] = [];
         let arrivals = 0;
         const add = (name: string, workspace: string, weight: number, untilMs = 1000, dueAtMs = 1000) =>
-            void queue.wait({ workspace, weight, dueAtMs, arrivedAtMs: arrivals++, untilMs, onDisconnect: stays }).then((
+            void queue.wait({ workspace, weight, dueAtMs, arrivedAtMs: arrivals++, untilMs, onDisconnect }).then((
                 result: HoldResult,
             ) => results.push(`${name} ${result}`));
         const wake = async (times: number): Promise<void> => {
-            for (let turn = 0; turn < times; turn += 1) {
+            for (let round = 0; round < times; round += 1) {
                 queue.wake();
                 await clock.advance(0);
             }
@@ -27,7 +32,7 @@
         return { clock, queue, results, add, wake };
     };
 
-    test("lets workspaces take turns, however many wait in one", async () => {
+    test("alternates between workspaces, however many requests of one wait", async () => {
         const { results, add, wake } = start();
         ["a1", "a2", "a3", "a4"].forEach(name => add(name, "a", 1));
         ["b1", "b2"].forEach(name => add(name, "b", 1));
@@ -35,7 +40,7 @@
         assert.deepEqual(results.map(result => result.split(" ")[0]), ["a1", "b1", "a2", "b2"]);
     });
 
-    test("lets the heavier request of a workspace go first, and the older of equals", async () => {
+    test("releases the request of a workspace with the highest weight first, and the oldest of equal weight", async () => {
         const { results, add, wake } = start();
         add("read1", "a", 1);
         add("pass", "a", 10);
@@ -44,20 +49,20 @@
         assert.deepEqual(results.map(result => result.split(" ")[0]), ["pass", "read1", "read2"]);
     });
 
-    test("lets those who can be in time go before those who cannot, and among them whoever is due first", async () => {
+    test("releases requests that can be in time before late ones, ordered by their due time", async () => {
         const { clock, results, add, wake } = start();
         await clock.advance(100);
         add("late", "a", 1, 1000, 50);
-        add("calm", "a", 1, 1000, 900);
+        add("relaxed", "a", 1, 1000, 900);
         add("urgent", "a", 1, 1000, 300);
         await wake(3);
-        assert.deepEqual(results.map(result => result.split(" ")[0]), ["urgent", "calm", "late"]);
+        assert.deepEqual(results.map(result => result.split(" ")[0]), ["urgent", "relaxed", "late"]);
     });
 
-    test("tells how many go before, and for how long they are expected to take", async () => {
+    test("reports how many requests are ahead, and the expected wait", async () => {
         const { clock, queue, add } = start();
         const last = { workspace: "a", weight: 1, dueAtMs: 2000, arrivedAtMs: 9 };
-        for (let turn = 0; turn < 8; turn += 1) {
+        for (let request = 0; request < 8; request += 1) {
             queue.recordAdmitted();
             await clock.advance(10);
         }
@@ -68,7 +73,7 @@
         assert.equal(queue.expectedWaitMs(last), 30);
     });
 
-    test("gives up its lightest request for a heavier one when it is full, never for an equal one", async () => {
+    test("displaces its request of the lowest weight for one of higher weight when it is full, not for one of equal weight", async () => {
         const { clock, queue, results, add } = start();
         add("read1", "a", 1);
         add("read2", "a", 1);
@@ -78,7 +83,7 @@
         assert.deepEqual(results, ["read2 displaced"]);
     });
 
-    test("lets a request decide for the last time at its time, also over a pause", async () => {
+    test("releases a request for its last decision when its hold time ends, also after a stall", async () => {
         const { clock, results, add } = start();
         add("late", "a", 1, 5);
         clock.pause(50);
@@ -87,7 +92,7 @@
     });
 });
 
-test("headers of one hop are not passed on, whatever Connection names", () => {
+test("hop-by-hop headers are not forwarded, including those that Connection lists", () => {
     const raw = [
         "Host",
         "x",
@@ -106,31 +111,31 @@
     ];
     const sent = requestHeaders(raw, "close, X-Secret", { "x-depth": "4", "x-none": undefined });
     assert.deepEqual(sent, ["host", "x", "accept", "a", "accept", "b", "x-depth", "4"]);
-    const answered = responseHeaders({ "connection": "x-hop", "x-hop": "1", "set-cookie": ["a", "b"], "keep-alive": "5" }, {
+    const returned = responseHeaders({ "connection": "x-hop", "x-hop": "1", "set-cookie": ["a", "b"], "keep-alive": "5" }, {
         own: "1",
     });
-    assert.deepEqual(answered, { "set-cookie": ["a", "b"], "own": "1" });
+    assert.deepEqual(returned, { "set-cookie": ["a", "b"], "own": "1" });
 });
 
-test("a sleep is noticed once, by the next look or the next tick, and a short delay is none", async () => {
+test("a stall is detected once, by the next check or the next tick, and a short delay is not a stall", async () => {
     const clock = new FakeClock();
-    const sleeps: number[] = [];
-    const detector = new StallDetector({ clock, onStall: sleptMs => sleeps.push(Math.round(sleptMs)) });
+    const stallsMs: number[] = [];
+    const detector = new StallDetector({ clock, onStall: stallMs => stallsMs.push(Math.round(stallMs)) });
     detector.start();
     await clock.advance(500);
     clock.pause(100);
     await clock.advance(200);
-    assert.deepEqual(sleeps, []);
+    assert.deepEqual(stallsMs, []);
     for (const pauseMs of [200, 2000, 20_000]) {
         clock.pause(pauseMs);
         detector.check();
         await clock.advance(100);
     }
-    assert.equal(sleeps.length, 3);
-    assert.ok(sleeps.every((sleptMs, index) => sleptMs >= [100, 1900, 19_900][index]!));
+    assert.equal(stallsMs.length, 3);
+    assert.ok(stallsMs.every((stallMs, index) => stallMs >= [100, 1900, 19_900][index]!));
 });
 
-test("spans over the bound are dropped and counted, and a failing receiver too", async () => {
+test("spans above the maximum and spans of failed exports are dropped and counted", async () => {
     const clock = new FakeClock();
     const dropped: number[] = [];
     let code = 1;
--- a/packages/daemon/test/hedge.test.ts
+++ b/packages/daemon/test/hedge.test.ts
@@ -1,8 +1,12 @@
+/**
+ * Guards against a hedge that is given up because no better upstream was available at its first check.
+ */
+
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { ModelFleet } from "./model/model-fleet.js";
 
-/** A second attempt is looked for each time half of the target has passed. */
+/** Checks for a hedge each time half of the target has passed. */
 const policies = `
 [policy.repeatable]
 chooser = expected-time
@@ -11,7 +15,7 @@
 hedgePercent = 50
 `;
 
-test("a request whose second attempt found no better upstream looks again, and goes there once there is one", async () => {
+test("a request that found no better upstream for a hedge checks again, and hedges once there is one", async () => {
     const fleet = new ModelFleet({
         instances: 1,
         upstreams: 2,
@@ -21,13 +25,13 @@
         policies,
     });
     const [stuck, full] = [...fleet.upstreams.values()];
-    const leave = full!.accept(() => undefined);
+    const release = full!.accept(() => undefined);
     const arrivedBefore = full!.arrivals;
     await fleet.clock.advance(1000);
     await fleet.startCallers(1);
     await fleet.clock.advance(300);
     assert.deepEqual([stuck!.arrivals, full!.arrivals], [1, arrivedBefore]);
-    leave?.();
+    release?.();
     await fleet.clock.advance(200);
     assert.equal(full!.arrivals, arrivedBefore + 1);
 });
--- a/packages/daemon/test/held-probes.test.ts
+++ b/packages/daemon/test/held-probes.test.ts
@@ -1,9 +1,13 @@
+/**
+ * Guards against held requests that send more probes the more often they are decided, or the more of them wait.
+ */
+
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { ModelFleet } from "./model/model-fleet.js";
 
-/** A policy that holds while nothing has room, whatever the wait. */
-const patient = `
+/** Holds requests while no upstream has headroom, however long the expected wait is. */
+const holdPolicy = `
 [policy.repeatable]
 chooser = expected-time
 probeCandidates = 4
@@ -12,7 +16,7 @@
 maximumHoldPercent = 50
 `;
 
-/** Upstreams that are full for as long as a test lasts. */
+/** Creates a fleet whose upstreams stay full for the duration of a test. */
 const start = async (policies?: string): Promise<ModelFleet> => {
     const fleet = new ModelFleet({
         instances: 1,
@@ -29,25 +33,25 @@
 
 const probesOf = (fleet: ModelFleet): number => [...fleet.upstreams.values()].reduce((sum, upstream) => sum + upstream.probes, 0);
 
-/** A request is held for half of its target at most, and decided again every 20 ms; each decision asks two upstreams at most. */
+/** A request is held for at most half of its target and decided again every 20 ms; each decision probes at most two upstreams. */
 const maximumProbes = 4 + 2 * (200 / 20 + 1);
 
-test("a held request asks two upstreams each time it is decided again, no more", async () => {
-    const fleet = await start(patient);
+test("a held request probes at most two upstreams each time it is decided again", async () => {
+    const fleet = await start(holdPolicy);
     await fleet.startCallers(1);
     await fleet.clock.advance(300);
     assert.ok(probesOf(fleet) >= 4, `${probesOf(fleet)} probes`);
     assert.ok(probesOf(fleet) <= maximumProbes, `${probesOf(fleet)} probes`);
 });
 
-test("however many wait behind it, only the first of them asks", async () => {
-    const fleet = await start(patient);
+test("only the first of the held requests sends probes", async () => {
+    const fleet = await start(holdPolicy);
     await fleet.startCallers(20);
     await fleet.clock.advance(300);
     assert.ok(probesOf(fleet) <= maximumProbes + 4, `${probesOf(fleet)} probes`);
 });
 
-test("a request for which no upstream can have room in time is refused at once", async () => {
+test("a request is rejected at once if no upstream can have headroom in time", async () => {
     const fleet = await start();
     const status = fleet.sendRequest(4000);
     await fleet.clock.advance(0);
--- a/packages/daemon/test/limit-random.test.ts
+++ b/packages/daemon/test/limit-random.test.ts
@@ -1,5 +1,5 @@
 /**
- * Upstreams that name limits of all sizes, change them and take them back at random moments.
+ * Guards against exceeding rate limits that upstreams announce, change and remove at random times.
  */
 
 import { SeededRandom } from "@harrierhitch/core";
@@ -7,9 +7,9 @@
 import { describe, test } from "node:test";
 import { assertLimitsRespected, runScenario, upstreamsOf } from "./model/limit-scenario.js";
 
-describe("limits at random moments are kept", () => {
+describe("limits announced at random times are respected", () => {
     Array.from({ length: 8 }, (_, seed) => seed + 1).forEach(seed => {
-        test(`whatever is named, seed ${seed}`, () => {
+        test(`with random values, seed ${seed}`, () => {
             const random = new SeededRandom(seed);
             return runScenario({ seed, instances: 3 + Math.floor(16 * random.next()) }, async fleet => {
                 for (let round = 0; round < 6; round += 1) {
--- a/packages/daemon/test/limit.test.ts
+++ b/packages/daemon/test/limit.test.ts
@@ -1,19 +1,16 @@
 /**
- * Two of seven upstreams, in need, named 3.2 and 2.5 requests a second that they took from all instances together, and went on
- * getting 8 to 23 a second from eleven of thirteen instances: 28 in four seconds where 24 and 20 were tolerated. In the instances'
- * logs they looked as good as any (`"state":"ready"`, `"reportAgeMs":0`, `"score":1.039`), and no line told of what they had said: nothing
- * read that header.
+ * Guards against sending an upstream more requests than the rate limit that it announces to all instances together.
  */
 
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
-import { assertLimitsRespected, baseRequestsPerSecond, runScenario, upstreamsOf, utilization } from "./model/limit-scenario.js";
+import { assertLimitsRespected, runScenario, upstreamsOf, usualPerSecond, utilization } from "./model/limit-scenario.js";
 
 interface Size {
     readonly instances: number;
     readonly perSecond: number;
     readonly demand?: number;
-    /** Share of what they name that has to be used; less where those that share it get too few requests for that. */
+    /** Smallest share of the limit that has to be used; lower where its participants receive too few requests. */
     readonly minimumUtilization?: number;
 }
 
@@ -30,9 +27,9 @@
     { instances: 95, perSecond: 20, demand: 200 },
 ];
 
-describe("upstreams that name how many requests a second they take", () => {
-    sizes.forEach(({ instances, perSecond, demand = baseRequestsPerSecond, minimumUtilization = 0.7 }) => {
-        test(`get no more than ${perSecond} from ${instances} instances, and the others serve the rest`, () =>
+describe("upstreams that announce a rate limit", () => {
+    sizes.forEach(({ instances, perSecond, demand = usualPerSecond, minimumUtilization = 0.7 }) => {
+        test(`receive at most ${perSecond} requests per second from ${instances} instances, and the others serve the rest`, () =>
             runScenario({ instances, upstream: { slots: 12, queue: 24, workMs: 60 } }, async fleet => {
                 await fleet.load(demand, 2000);
                 upstreamsOf(fleet).slice(0, 2).forEach(upstream => upstream.announceLimit(perSecond));
@@ -40,77 +37,77 @@
                 await fleet.load(demand, 14_000);
                 assertLimitsRespected(fleet);
                 const shareWithinTarget = fleet.shareWithinTarget(fromMs, fromMs + 13_000);
-                assert.ok(shareWithinTarget > 0.97, `in time: ${shareWithinTarget}`);
+                assert.ok(shareWithinTarget > 0.97, `within the target: ${shareWithinTarget}`);
                 const share = utilization(upstreamsOf(fleet).slice(0, 2), perSecond, fromMs + 4000, fromMs + 14_000);
                 assert.ok(share > minimumUtilization, `used: ${share}`);
             }));
     });
 });
 
-describe("while all upstreams of a service name less than is asked for", () => {
-    test("they get no more, and callers what they take", () =>
+describe("while the limits of all upstreams of a service are below the load", () => {
+    test("the limits are respected and used", () =>
         runScenario({}, async fleet => {
             const perSecond = 4;
-            await fleet.load(baseRequestsPerSecond, 2000);
+            await fleet.load(usualPerSecond, 2000);
             upstreamsOf(fleet).forEach(upstream => upstream.announceLimit(perSecond));
             const fromMs = fleet.clock.nowMs();
-            await fleet.load(baseRequestsPerSecond, 16_000);
+            await fleet.load(usualPerSecond, 16_000);
             assertLimitsRespected(fleet);
             const share = utilization(upstreamsOf(fleet), perSecond, fromMs + 4000, fromMs + 16_000);
             assert.ok(share > 0.7, `used: ${share}`);
         }));
 
-    test("those who can still be in time go before those who come back late", () =>
+    test("requests that can still be in time go before late retries", () =>
         runScenario({}, async fleet => {
-            await fleet.load(baseRequestsPerSecond, 2000);
+            await fleet.load(usualPerSecond, 2000);
             upstreamsOf(fleet).forEach(upstream => upstream.announceLimit(4));
             const fromMs = fleet.clock.nowMs();
-            await fleet.load(baseRequestsPerSecond, 16_000);
+            await fleet.load(usualPerSecond, 16_000);
             const shareWithinTarget = fleet.shareWithinTarget(fromMs + 1000, fromMs + 14_000);
-            assert.ok(shareWithinTarget > 0.24, `in time: ${shareWithinTarget}, of 0.29 that upstreams take`);
+            assert.ok(shareWithinTarget > 0.24, `within the target: ${shareWithinTarget}, of 0.29 that the limits allow`);
         }));
 
-    test("callers are turned away at once, and told when there is room, not all the same moment", () =>
+    test("callers are rejected at once with staggered Retry-After times", () =>
         runScenario({ instances: 1, isJoined: false }, async fleet => {
-            await fleet.load(baseRequestsPerSecond, 2000);
+            await fleet.load(usualPerSecond, 2000);
             upstreamsOf(fleet).forEach(upstream => upstream.announceLimit(0.05));
-            await fleet.load(baseRequestsPerSecond, 3000);
+            await fleet.load(usualPerSecond, 3000);
             const sentAtMs = fleet.clock.nowMs();
-            const asks = Array.from(
+            const pending = Array.from(
                 { length: 20 },
-                () => fleet.sendRequest(1100).then(answer => ({ ...answer, atMs: fleet.clock.nowMs() })),
+                () => fleet.sendRequest(1100).then(response => ({ ...response, atMs: fleet.clock.nowMs() })),
             );
             await fleet.clock.advance(0);
             await fleet.clock.advance(5000);
-            // One of them may have found an upstream's next turn.
-            const answers = (await Promise.all(asks)).filter(({ status }) => status !== 200);
-            assert.ok(answers.length >= 19, `${20 - answers.length} served`);
-            assert.deepEqual(answers.map(({ status, atMs }) => [status, atMs - sentAtMs]), answers.map(() => [503, 0]));
-            const retryAfterTimesMs = answers.map(({ retryAfterMs }) => retryAfterMs);
+            // One of them may have got an upstream's next permit.
+            const rejections = (await Promise.all(pending)).filter(({ status }) => status !== 200);
+            assert.ok(rejections.length >= 19, `${20 - rejections.length} served`);
+            assert.deepEqual(rejections.map(({ status, atMs }) => [status, atMs - sentAtMs]), rejections.map(() => [503, 0]));
+            const retryAfterTimesMs = rejections.map(({ retryAfterMs }) => retryAfterMs);
             assert.ok(
                 Math.min(...retryAfterTimesMs) > 0 && new Set(retryAfterTimesMs).size > 15,
-                `told to come back after ${retryAfterTimesMs.join()} ms`,
+                `Retry-After: ${retryAfterTimesMs.join()} ms`,
             );
         }));
 
-    test("a caller waits where its turn comes in time", () =>
+    test("a request waits for a permit that comes in time", () =>
         runScenario({ instances: 1, upstreams: 1, isJoined: false }, async fleet => {
             const [only] = upstreamsOf(fleet);
             only!.announceLimit(10);
             await fleet.load(10, 6000);
             await fleet.clock.advance(500);
             const fromMs = fleet.clock.nowMs();
-            const asks = Array.from({ length: 3 }, () => fleet.sendRequest(1100).then(({ status }) => status));
+            const statuses = Array.from({ length: 3 }, () => fleet.sendRequest(1100).then(({ status }) => status));
             await fleet.clock.advance(0);
             await fleet.clock.advance(5000);
-            assert.deepEqual(await Promise.all(asks), [200, 200, 200]);
-            assert.equal(only!.limits.requestsBetween(fromMs, fromMs + 1000), 3);
+            assert.deepEqual(await Promise.all(statuses), [200, 200, 200]);
+            assert.equal(only!.limits.between(fromMs, fromMs + 1000), 3);
             assertLimitsRespected(fleet);
         }));
 });
 
 describe("a limit", () => {
-    test("binds what was still waiting for its connection when it was heard", () =>
+    test("applies to requests that were waiting for a connection when it was received", () =>
         runScenario({ instances: 1, upstreams: 1, connectMs: 20, isJoined: false }, async fleet => {
             const [only] = upstreamsOf(fleet);
             await fleet.load(20, 4000);
@@ -124,43 +121,43 @@
             assert.ok(only!.arrivals - arrivals <= 2, `${only!.arrivals - arrivals} requests`);
         }));
 
-    [{ how: "goes away", perSecond: undefined }, { how: "rises", perSecond: 100 }].forEach(({ how, perSecond }) => {
-        test(`that ${how} is used by all instances soon after`, () =>
+    [{ change: "is removed", perSecond: undefined }, { change: "is raised", perSecond: 100 }].forEach(({ change, perSecond }) => {
+        test(`that ${change} is applied by all instances soon after`, () =>
             runScenario({ upstreams: 3 }, async fleet => {
-                await fleet.load(baseRequestsPerSecond, 2000);
+                await fleet.load(usualPerSecond, 2000);
                 const [first] = upstreamsOf(fleet);
                 first!.announceLimit(2);
-                await fleet.load(baseRequestsPerSecond, 8000);
+                await fleet.load(usualPerSecond, 8000);
                 first!.announceLimit(perSecond);
-                await fleet.load(baseRequestsPerSecond, 4000);
+                await fleet.load(usualPerSecond, 4000);
                 const { arrivals } = first!;
-                await fleet.load(baseRequestsPerSecond, 4000);
+                await fleet.load(usualPerSecond, 4000);
                 assert.ok(first!.arrivals - arrivals > 50, `${first!.arrivals - arrivals} requests`);
                 assertLimitsRespected(fleet);
             }));
     });
 
-    test("of 0 is kept, and its end is found out", () =>
+    test("of 0 is respected, and its removal is detected", () =>
         runScenario({ upstreams: 3 }, async fleet => {
-            await fleet.load(baseRequestsPerSecond, 2000);
+            await fleet.load(usualPerSecond, 2000);
             const [first] = upstreamsOf(fleet);
             first!.announceLimit(0);
-            await fleet.load(baseRequestsPerSecond, 12_000);
+            await fleet.load(usualPerSecond, 12_000);
             assertLimitsRespected(fleet);
             const { arrivals } = first!;
             first!.announceLimit(undefined);
-            await fleet.load(baseRequestsPerSecond, 30_000);
+            await fleet.load(usualPerSecond, 30_000);
             assert.ok(first!.arrivals - arrivals > 100, `${first!.arrivals - arrivals} requests`);
         }));
 
     ["-3", "few", "", "3, 7", "1e9"].forEach(text => {
-        test(`that is none (${JSON.stringify(text)}) binds nothing`, () =>
+        test(`that is invalid (${JSON.stringify(text)}) is ignored`, () =>
             runScenario({ upstreams: 2 }, async fleet => {
-                await fleet.load(baseRequestsPerSecond, 1000);
+                await fleet.load(usualPerSecond, 1000);
                 const [first] = upstreamsOf(fleet);
                 first!.limitHeader = text;
                 const { arrivals } = first!;
-                await fleet.load(baseRequestsPerSecond, 3000);
+                await fleet.load(usualPerSecond, 3000);
                 assert.ok(first!.arrivals - arrivals > 60, `${first!.arrivals - arrivals} requests`);
             }));
     });
--- a/packages/daemon/test/many-upstreams.test.ts
+++ b/packages/daemon/test/many-upstreams.test.ts
@@ -1,8 +1,12 @@
+/**
+ * Guards against worse selections where there are more upstreams than one decision considers.
+ */
+
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { ModelFleet } from "./model/model-fleet.js";
 
-/** 72 upstreams answer 72 × 3 / 0.4 = 540 requests a second; each of 36 instances sees a few of them in a second. */
+/** The 72 upstreams serve 72 × 3 / 0.4 = 540 requests per second; each of 36 instances uses a few of them within a second. */
 const fleetOptions = {
     instances: 36,
     upstreams: 72,
@@ -20,13 +24,13 @@
     callerTimeoutMs: 4000,
 };
 
-const sums = (fleet: ModelFleet) => {
+const totals = (fleet: ModelFleet) => {
     const upstreams = [...fleet.upstreams.values()];
-    const total = (figure: "arrivals" | "sheds"): number => upstreams.reduce((sum, upstream) => sum + upstream[figure], 0);
+    const total = (counter: "arrivals" | "sheds"): number => upstreams.reduce((sum, upstream) => sum + upstream[counter], 0);
     return { arrivals: total("arrivals"), sheds: total("sheds") };
 };
 
-test("a rush at more upstreams than a decision looks at is served as well as if it looked at all", async () => {
+test("a burst at more upstreams than a decision considers is served as well as if it considered all", async () => {
     const fleet = new ModelFleet(fleetOptions);
     await fleet.load(200, 3000);
     await fleet.load(600, 3000);
@@ -37,9 +41,9 @@
         fleet.shareWithinTarget(3000, 6000),
         fleet.shareWithinTarget(7000, 9000),
     ];
-    const { arrivals, sheds } = sums(fleet);
-    assert.ok(before > 0.97, `in time before the rush: ${before}`);
-    assert.ok(during > 0.84, `in time during the rush: ${during}`);
-    assert.ok(after > 0.97, `in time after the rush: ${after}`);
+    const { arrivals, sheds } = totals(fleet);
+    assert.ok(before > 0.97, `within the target before the burst: ${before}`);
+    assert.ok(during > 0.84, `within the target during the burst: ${during}`);
+    assert.ok(after > 0.97, `within the target after the burst: ${after}`);
     assert.ok(sheds / arrivals < 0.02, `${sheds} of ${arrivals} shed`);
 });
--- a/packages/daemon/test/model/limit-checker.ts
+++ b/packages/daemon/test/model/limit-checker.ts
@@ -34,20 +34,21 @@
 
 /** Records the limits that one upstream announces and the requests that it receives. */
 export class LimitChecker {
-    private readonly announcements: AnnouncedLimit[] = [];
-    /** Requests of instances that have received the limit. */
+    private readonly announced: AnnouncedLimit[] = [];
+    /** Requests of instances that received the limit. */
     private readonly arrivals: Arrival[] = [];
-    private readonly allArrivalsMs: number[] = [];
+    /** Times of all requests. */
+    private readonly all: number[] = [];
     private readonly notifiedAtMs = new Map<string, number>();
 
     /** Records the limit that the upstream announces from now on; `undefined` for none. */
     recordAnnouncement(perSecond: number | undefined, atMs: number): void {
-        this.announcements.push({ perSecond, atMs });
+        this.announced.push({ perSecond, atMs });
     }
 
     /** Records that a response has reached an instance. */
     recordNotified(instance: string, atMs: number): void {
-        if (this.announcements.at(-1)?.perSecond !== undefined && !this.notifiedAtMs.has(instance)) {
+        if (this.announced.at(-1)?.perSecond !== undefined && !this.notifiedAtMs.has(instance)) {
             this.notifiedAtMs.set(instance, atMs);
         }
     }
@@ -59,25 +60,25 @@
 
     /** Records a request of an instance. */
     recordArrival(instance: string, atMs: number): void {
-        this.allArrivalsMs.push(atMs);
+        this.all.push(atMs);
         if (atMs >= (this.notifiedAtMs.get(instance) ?? Infinity) + notificationGraceMs) {
             this.arrivals.push({ instance, atMs });
         }
     }
 
     /** Returns the number of requests of all instances between two times. */
-    requestsBetween(fromMs: number, untilMs: number): number {
-        return this.allArrivalsMs.filter(atMs => atMs > fromMs && atMs <= untilMs).length;
+    between(fromMs: number, untilMs: number): number {
+        return this.all.filter(atMs => atMs > fromMs && atMs <= untilMs).length;
     }
 
     /** The window with the most requests above those allowed; `undefined` without requests. */
-    get worstWindow(): WorstWindow | undefined {
-        const firstAnnouncedAtMs = this.announcements.find(({ perSecond }) => perSecond !== undefined)?.atMs ?? Infinity;
+    get worst(): WorstWindow | undefined {
+        const beganAtMs = this.announced.find(({ perSecond }) => perSecond !== undefined)?.atMs ?? Infinity;
         const windows = this.arrivals
-            .filter(({ atMs }) => atMs >= firstAnnouncedAtMs + announcementGraceMs)
+            .filter(({ atMs }) => atMs >= beganAtMs + announcementGraceMs)
             .map(({ atMs }) => ({
                 requests: this.arrivals.filter(other => other.atMs > atMs - windowMs && other.atMs <= atMs).length,
-                allowed: this.allowedRequests(atMs - windowMs, atMs),
+                allowed: this.allowed(atMs - windowMs, atMs),
                 endAtMs: atMs,
             }));
         return windows.sort((a, b) => b.requests - b.allowed - (a.requests - a.allowed))[0];
@@ -85,16 +86,16 @@
 
     /** Whether no window exceeds what is allowed. */
     get isRespected(): boolean {
-        const { worstWindow } = this;
-        return worstWindow === undefined || worstWindow.requests <= worstWindow.allowed;
+        const { worst } = this;
+        return worst === undefined || worst.requests <= worst.allowed;
     }
 
     /** Requests allowed in a window by the largest limit announced in it; `Infinity` without one. */
-    private allowedRequests(fromMs: number, untilMs: number): number {
-        const activeLimits = this.announcements.filter(({ atMs }, index) =>
-            atMs <= untilMs && (this.announcements[index + 1]?.atMs ?? Infinity) > fromMs
+    private allowed(fromMs: number, untilMs: number): number {
+        const activeLimits = this.announced.filter(({ atMs }, index) =>
+            atMs <= untilMs && (this.announced[index + 1]?.atMs ?? Infinity) > fromMs
         );
-        const maximumPerSecond = Math.max(...activeLimits.map(({ perSecond }) => perSecond ?? Infinity));
-        return maximumPerSecond * windowMs / 1000 * toleratedFactor + toleratedRequests;
+        const mostPerSecond = Math.max(...activeLimits.map(({ perSecond }) => perSecond ?? Infinity));
+        return mostPerSecond * windowMs / 1000 * toleratedFactor + toleratedRequests;
     }
 }
--- a/packages/daemon/test/model/limit-scenario.ts
+++ b/packages/daemon/test/model/limit-scenario.ts
@@ -19,7 +19,7 @@
 const convergenceMs = 4000;
 
 /** Usual load of all callers together, in requests per second. */
-export const baseRequestsPerSecond = 83;
+export const usualPerSecond = 83;
 
 /** Returns the upstreams of a fleet. */
 export const upstreamsOf = (fleet: ModelFleet): readonly ModelUpstream[] => [...fleet.upstreams.values()];
@@ -27,7 +27,7 @@
 /** Asserts that no upstream received more requests than its limit allows. */
 export const assertLimitsRespected = (fleet: ModelFleet): void =>
     upstreamsOf(fleet).forEach(({ limits }, index) => {
-        assert.ok(limits.isRespected, `upstream ${index}: ${JSON.stringify(limits.worstWindow)}`);
+        assert.ok(limits.isRespected, `upstream ${index}: ${JSON.stringify(limits.worst)}`);
     });
 
 /** Runs a scenario on a fleet whose instances have discovered each other. */
@@ -47,6 +47,6 @@
 
 /** Returns the share of the announced limits that was used between two times. */
 export const utilization = (upstreams: readonly ModelUpstream[], perSecond: number, fromMs: number, untilMs: number): number => {
-    const received = upstreams.reduce((sum, { limits }) => sum + limits.requestsBetween(fromMs, untilMs), 0);
+    const received = upstreams.reduce((sum, { limits }) => sum + limits.between(fromMs, untilMs), 0);
     return received / (upstreams.length * perSecond * (untilMs - fromMs) / 1000);
 };
--- a/packages/daemon/test/platform-link.test.ts
+++ b/packages/daemon/test/platform-link.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against missed changes of the platform and against needless calls to it, by readers and by other instances.
+ */
+
 import { create } from "@bufbuild/protobuf";
 import { FakeClock, instanceId, SeededRandom, upstreamId } from "@harrierhitch/core";
 import { CrashHistory, UpstreamLimits } from "@harrierhitch/decision";
@@ -13,7 +17,7 @@
 
 const watchMs = 4000;
 
-/** A platform that notes its calls, with a revision that a watch tells at once when it is behind. */
+/** A platform that records its calls; a watch for a revision behind the current one returns at once. */
 class FakePlatform implements Platform {
     readonly calls: string[] = [];
     revision = 1;
@@ -23,25 +27,25 @@
 
     read(): Promise<Publication> {
         this.calls.push("read");
-        return this.answer(0);
+        return this.respond(0);
     }
 
-    async watch(revision: number, _: AbortSignal, waitMs: number): Promise<Publication> {
-        this.calls.push(`watch ${waitMs}`);
-        if (!this.isDown && revision === this.revision && waitMs > 0) {
-            await new Promise<void>(resolve => this.clock.after(waitMs, resolve));
+    async watch(revision: number, _: AbortSignal, longPollMs: number): Promise<Publication> {
+        this.calls.push(`watch ${longPollMs}`);
+        if (!this.isDown && revision === this.revision && longPollMs > 0) {
+            await new Promise<void>(resolve => this.clock.after(longPollMs, resolve));
         }
-        return this.answer(revision);
+        return this.respond(revision);
     }
 
-    private answer(after: number): Promise<Publication> {
+    private respond(afterRevision: number): Promise<Publication> {
         const { revision } = this;
         return this.isDown
             ? Promise.reject(new PlatformError("the platform is down"))
             : Promise.resolve({
                 revision,
                 configuration: undefined,
-                listings: after < revision ? [{ upstream: upstreamId("a"), revision, text: "ready" }] : [],
+                listings: afterRevision < revision ? [{ upstream: upstreamId("a"), revision, text: "ready" }] : [],
                 zones: [],
             });
     }
@@ -58,13 +62,13 @@
         platformReachable: true,
     });
 
-/** A link of instance `self`, with other members that it believes alive. */
-const open = async (others: readonly string[], hasJoined = true) => {
+/** Starts a link of instance `self`, with other members that it considers alive. */
+const startLink = async (others: readonly string[], hasJoined = true) => {
     const clock = new FakeClock();
     const platform = new FakePlatform(clock);
     const directory = createTestDirectory(clock);
     const random = new SeededRandom(1);
-    const never = (): never => {
+    const notUsed = (): never => {
         throw new TypeError("not used");
     };
     const fleet = new Fleet({
@@ -77,7 +81,7 @@
         address: "127.0.0.1",
         port: 2,
         seeds: [],
-        clients: { to: never, close: () => undefined },
+        clients: { to: notUsed, close: () => undefined },
         activeConfiguration: new ActiveConfiguration(),
         directory,
         crashes: new CrashHistory({ clock }),
@@ -91,12 +95,12 @@
         onLimited: () => undefined,
         onUnreachable: () => undefined,
     });
-    const beat = (): void => {
+    const sendHeartbeats = (): void => {
         fleet.members.merge(others.map(name => member(name, clock.nowMs())), "");
-        clock.after(500, beat);
+        clock.after(500, sendHeartbeats);
     };
-    beat();
-    const sleep = { isOver: false };
+    sendHeartbeats();
+    const stall = { isOver: false };
     const link = new PlatformLink({
         platform,
         clock,
@@ -114,14 +118,14 @@
         times: defaultFleetTimes,
         willJoin: () => !hasJoined,
         hasCallers: () => true,
-        checkForStall: () => sleep.isOver ? link.recordStall() : undefined,
+        checkForStall: () => stall.isOver ? link.recordStall() : undefined,
     });
     link.start();
     await clock.advance(0);
-    return { clock, platform, directory, fleet, link, sleep };
+    return { clock, platform, directory, fleet, link, stall };
 };
 
-/** The name of a member that is the reader beside `self`, or is not. */
+/** Returns the name of a member that is the reader of a fleet of it and `self`, or is not. */
 const memberName = (isReader: boolean): string => {
     const names = Array.from({ length: 50 }, (_, index) => `other-${index}`);
     return names.find(name => {
@@ -131,35 +135,35 @@
 };
 
 describe("an instance", () => {
-    test("that slept takes what came meanwhile for as old as its question", async () => {
-        const { clock, fleet, link, sleep } = await open([]);
+    test("that stalled counts the staleness of a pending response from its request", async () => {
+        const { clock, fleet, link, stall } = await startLink([]);
         await clock.advance(1000);
         assert.ok(fleet.stalenessTracker.stalenessMs >= 900);
         clock.pause(6000);
-        sleep.isOver = true;
+        stall.isOver = true;
         await clock.advance(0);
         link.stop();
         assert.ok(fleet.stalenessTracker.stalenessMs >= 6000, `${fleet.stalenessTracker.stalenessMs} ms`);
     });
 
-    test("that is alone detectors for as long as its settings say", async () => {
-        const { clock, platform, link } = await open([]);
+    test("that is alone watches for the configured time", async () => {
+        const { clock, platform, link } = await startLink([]);
         await clock.advance(9000);
         link.stop();
         assert.deepEqual(platform.calls, ["read", `watch ${watchMs}`, `watch ${watchMs}`, `watch ${watchMs}`]);
     });
 
-    test("that reads for others confirms what it knows once a second", async () => {
-        const { clock, platform, link, fleet } = await open([memberName(false)]);
+    test("that is a reader confirms its state once a second", async () => {
+        const { clock, platform, link, fleet } = await startLink([memberName(false)]);
         await clock.advance(3100);
         link.stop();
         assert.deepEqual(platform.calls.slice(1), ["watch 1000", "watch 1000", "watch 1000"]);
         assert.ok(fleet.stalenessTracker.stalenessMs < 1100);
     });
 
-    test("that hears from a reader does not ask the platform, and does so at once when that has told nothing for 1.5 s", async () => {
-        const { clock, platform, link, fleet } = await open([memberName(true)]);
-        for (let told = 0; told < 3; told += 1) {
+    test("that receives confirmations from a reader does not call the platform, and does so after 1.5 s without one", async () => {
+        const { clock, platform, link, fleet } = await startLink([memberName(true)]);
+        for (let round = 0; round < 3; round += 1) {
             await clock.advance(1000);
             fleet.stalenessTracker.confirm(0);
         }
@@ -170,16 +174,16 @@
         assert.deepEqual(platform.calls, ["read", "watch 0"]);
     });
 
-    test("that has not joined the others yet asks within a second what its first read, some seconds old, lacks", async () => {
-        const { clock, platform, link } = await open([], false);
+    test("that has not joined yet requests within a second the changes missing from its first, possibly stale read", async () => {
+        const { clock, platform, link } = await startLink([], false);
         platform.revision = 2;
         await clock.advance(1000);
         link.stop();
         assert.deepEqual(platform.calls, ["read", "watch 0"]);
     });
 
-    test("that is no reader tries every two seconds or so while the platform is down", async () => {
-        const { clock, platform, link } = await open([memberName(true)]);
+    test("that is not a reader retries about every two seconds while the platform is down", async () => {
+        const { clock, platform, link } = await startLink([memberName(true)]);
         await clock.advance(100);
         platform.isDown = true;
         await clock.advance(3900);
@@ -189,22 +193,22 @@
     });
 });
 
-test("an instance of a large fleet that tried in vain while others tried for it reads at once when it becomes the reader", async () => {
+test("an instance of a large fleet whose calls failed while others were readers reads at once when it becomes the reader", async () => {
     const others = Array.from({ length: 300 }, (_, index) => `other-${index}`);
-    const { clock, platform, link, fleet } = await open(others);
+    const { clock, platform, link, fleet } = await startLink(others);
     await clock.advance(100);
     platform.isDown = true;
     await clock.advance(4000);
-    const tried = platform.calls.length;
+    const callsBefore = platform.calls.length;
     fleet.members.merge(others.map(name => ({ ...member(name, 1e9), leaving: true })), "");
     await clock.advance(3500);
     link.stop();
-    assert.ok(tried > 1, `${tried} calls before`);
-    assert.ok(platform.calls.length - tried >= 3, `${platform.calls.length - tried} calls as the reader`);
+    assert.ok(callsBefore > 1, `${callsBefore} calls before`);
+    assert.ok(platform.calls.length - callsBefore >= 3, `${platform.calls.length - callsBefore} calls as the reader`);
 });
 
-test("a watch that tells nothing moves no revision on, since the platform may be deaf", async () => {
-    const { clock, platform, link, directory } = await open([]);
+test("a watch without changes does not advance the revision, since the platform may have missed some", async () => {
+    const { clock, platform, link, directory } = await startLink([]);
     await clock.advance(100);
     platform.watch = () => Promise.resolve({ revision: 9, configuration: undefined, listings: [], zones: [] });
     await clock.advance(9000);
--- a/packages/daemon/test/probe-suppression.test.ts
+++ b/packages/daemon/test/probe-suppression.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against probing a service that returns no load reports, and against suppressing one that does.
+ */
+
 import { FakeClock, serviceName } from "@harrierhitch/core";
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -5,25 +9,25 @@
 
 const name = serviceName("main");
 
-const note = (silent: ProbeSuppression, result: "told" | "silent" | "failed", times: number): void =>
-    Array.from({ length: times }).forEach(() => silent.recordResult(name, result));
+const recordResults = (suppression: ProbeSuppression, result: "told" | "silent" | "failed", times: number): void =>
+    Array.from({ length: times }).forEach(() => suppression.recordResult(name, result));
 
-test("a service that tells nothing eight times in a row is left alone for ten seconds, others are not", async () => {
+test("a service without a load report in eight probes in a row is not probed for ten seconds, others are", async () => {
     const clock = new FakeClock();
-    const silent = new ProbeSuppression(clock);
-    note(silent, "silent", 7);
-    assert.equal(silent.isSuppressed(name), false);
-    note(silent, "silent", 1);
-    assert.deepEqual([silent.isSuppressed(name), silent.isSuppressed(serviceName("other"))], [true, false]);
+    const suppression = new ProbeSuppression(clock);
+    recordResults(suppression, "silent", 7);
+    assert.equal(suppression.isSuppressed(name), false);
+    recordResults(suppression, "silent", 1);
+    assert.deepEqual([suppression.isSuppressed(name), suppression.isSuppressed(serviceName("other"))], [true, false]);
     await clock.advance(10_001);
-    assert.equal(silent.isSuppressed(name), false);
+    assert.equal(suppression.isSuppressed(name), false);
 });
 
-test("one answer that tells its load keeps a service in, failed probes say nothing", () => {
-    const silent = new ProbeSuppression(new FakeClock());
-    note(silent, "silent", 7);
-    note(silent, "told", 1);
-    note(silent, "failed", 20);
-    note(silent, "silent", 7);
-    assert.equal(silent.isSuppressed(name), false);
+test("one load report prevents the suppression of a service, and failed probes do not count", () => {
+    const suppression = new ProbeSuppression(new FakeClock());
+    recordResults(suppression, "silent", 7);
+    recordResults(suppression, "told", 1);
+    recordResults(suppression, "failed", 20);
+    recordResults(suppression, "silent", 7);
+    assert.equal(suppression.isSuppressed(name), false);
 });
--- a/packages/daemon/test/quarantine-trials.test.ts
+++ b/packages/daemon/test/quarantine-trials.test.ts
@@ -1,6 +1,5 @@
 /**
- * An outage took three upstreams one after the other, and with them every run of a request that was asked for often: it
- * had not been answered since, looked like the cause, and was withheld for an hour without being tried once.
+ * Guards against a frequent request that stays quarantined after crashes that it did not cause, and against trials that crash many upstreams.
  */
 
 import { FakeClock, type RequestId, requestId, requestKey, SeededRandom } from "@harrierhitch/core";
@@ -12,26 +11,26 @@
 import { Metrics } from "../src/telemetry/metrics.js";
 
 const key = requestKey("ab".padEnd(40, "0"));
-const asked = () => key;
+const readKey = () => key;
 
-/** Time after which what is withheld may be tried. */
+/** Time before a quarantined request may be tried, in milliseconds. */
 const trialAfterMs = 30_000;
 
-/** Some instances that tell each other of every run a while later. */
+/** The crash detectors of several instances, which exchange their crash records after a delay. */
 class Instances {
     readonly clock = new FakeClock();
     readonly detectors: readonly CrashDetector[];
     private requests = 0;
 
-    constructor(count: number, private readonly oneWayDelayMs = 500, chosen: (pattern: RequestSignature) => number = () => 0) {
+    constructor(count: number, private readonly gossipDelayMs = 500, ownerOf: (signature: RequestSignature) => number = () => 0) {
         const { clock } = this;
         this.detectors = Array.from({ length: count }, (_, index) =>
             new CrashDetector({
                 clock,
                 log: new EventLog({ level: "silent", clock }),
                 metrics: new Metrics(false),
-                onChange: () => this.tell(index),
-                isTrialOwner: pattern => chosen(pattern) === index,
+                onChange: () => this.gossip(index),
+                isTrialOwner: signature => ownerOf(signature) === index,
             }));
     }
 
@@ -41,34 +40,34 @@
     }
 
     isSent(index: number, request = this.newRequest()): boolean {
-        return !this.detectors[index]!.shouldQuarantine(request, asked);
+        return !this.detectors[index]!.shouldQuarantine(request, readKey);
     }
 
-    /** An upstream ends under the request at an instance. */
-    end(index: number, request = this.newRequest()): void {
+    /** Records at an instance that an upstream crashed while processing the request. */
+    crash(index: number, request = this.newRequest()): void {
         this.detectors[index]!.recordCrash({ request, attempt: 1, key, upstream: `u${this.requests}` as never, ranMs: 50 });
         this.detectors[index]!.recordCompleted(request, true);
     }
 
     async crashThreeTimes(): Promise<void> {
         for (const index of [0, 0, 0]) {
-            this.end(index);
+            this.crash(index);
             await this.clock.advance(1000);
         }
     }
 
-    private tell(from: number): void {
-        this.clock.after(this.oneWayDelayMs, () => {
-            const { history: ledger } = this.detectors[from]!;
+    private gossip(from: number): void {
+        this.clock.after(this.gossipDelayMs, () => {
+            const { history } = this.detectors[from]!;
             this.detectors.forEach(({ history: other }) =>
-                other === ledger || other.merge(ledger.recentEntries(other.quarantined, false), ledger.quarantined)
+                other === history || other.merge(history.recentEntries(other.quarantined, false), history.quarantined)
             );
         });
     }
 }
 
-describe("a request that is withheld", () => {
-    test("is tried once after half a minute, by the one instance that is chosen", async () => {
+describe("a quarantined request", () => {
+    test("is tried once after half a minute, by the trial's owner", async () => {
         const instances = new Instances(3, 500, () => 1);
         await instances.crashThreeTimes();
         await instances.clock.advance(trialAfterMs - 1001);
@@ -77,12 +76,12 @@
         const trial = instances.newRequest();
         assert.deepEqual([0, 2].map(index => instances.isSent(index)), [false, false]);
         assert.equal(instances.isSent(1, trial), true);
-        assert.equal(instances.isSent(1, trial), true, "the one that tries goes on");
-        assert.equal(instances.isSent(1), false, "a second one waits for its answer");
-        assert.equal(instances.detectors[1]!.allowsHedge(trial, asked), false);
+        assert.equal(instances.isSent(1, trial), true, "the trial request may continue");
+        assert.equal(instances.isSent(1), false, "no second trial before the response");
+        assert.equal(instances.detectors[1]!.allowsHedge(trial, readKey), false);
     });
 
-    test("is sent by all again once the trial is answered", async () => {
+    test("is sent by all instances again once the trial succeeded", async () => {
         const instances = new Instances(3);
         await instances.crashThreeTimes();
         await instances.clock.advance(trialAfterMs);
@@ -94,15 +93,15 @@
         assert.deepEqual([0, 1, 2].map(index => instances.isSent(index)), [true, true, true]);
     });
 
-    test("is not tried again when the trial has ended an upstream, or has brought nothing", async () => {
-        for (const ends of [true, false]) {
+    test("is not tried again if the trial crashed an upstream or had no result", async () => {
+        for (const crashes of [true, false]) {
             const instances = new Instances(1);
             await instances.crashThreeTimes();
             await instances.clock.advance(trialAfterMs);
             const trial = instances.newRequest();
             assert.equal(instances.isSent(0, trial), true);
-            if (ends) {
-                instances.end(0, trial);
+            if (crashes) {
+                instances.crash(0, trial);
             }
             instances.detectors[0]!.recordCompleted(trial, true);
             for (let minute = 0; minute < 55; minute += 1) {
@@ -112,7 +111,7 @@
         }
     });
 
-    test("is tried by the next one when the first was not run", async () => {
+    test("is tried with the next request if the first trial was not run", async () => {
         const instances = new Instances(1);
         await instances.crashThreeTimes();
         await instances.clock.advance(trialAfterMs);
@@ -123,10 +122,10 @@
     });
 
     [1, 2, 3, 4, 5].forEach(seed => {
-        test(`and ends upstreams is sent at most twice more, whoever is chosen meanwhile, seed ${seed}`, async () => {
+        test(`that crashes upstreams is sent at most twice more while the trial's owner changes, seed ${seed}`, async () => {
             const random = new SeededRandom(seed);
-            let chosen = 0;
-            const instances = new Instances(13, 700, () => chosen);
+            let owner = 0;
+            const instances = new Instances(13, 700, () => owner);
             await instances.crashThreeTimes();
             await instances.clock.advance(3000);
             let sent = 0;
@@ -136,10 +135,10 @@
                 if (instances.isSent(index, request)) {
                     sent += 1;
                     await instances.clock.advance(100);
-                    instances.end(index, request);
+                    instances.crash(index, request);
                 }
-                // An instance left: another one is chosen, of which the last may not have heard.
-                chosen = random.next() < 0.002 ? Math.floor(random.next() * 13) : chosen;
+                // An instance left: the new owner may not have received the last crash record yet.
+                owner = random.next() < 0.002 ? Math.floor(random.next() * 13) : owner;
                 await instances.clock.advance(700);
             }
             assert.ok(sent >= 1 && sent <= 2, `${sent} times`);
--- a/packages/daemon/test/retry-after.test.ts
+++ b/packages/daemon/test/retry-after.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against a misread Retry-After header: a backoff that is missing, too long or taken from the wrong status.
+ */
+
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import { readBackoff } from "../src/request/response-notice.js";
@@ -34,28 +38,28 @@
         });
     });
     unreadable.forEach(header => {
-        test(`"${header.text}" cannot be read, and is told as it is`, () => {
+        test(`"${header.text}" is unreadable, and is returned unchanged`, () => {
             assert.deepEqual(read(header), { delayMs: undefined, unreadable: header.text });
         });
     });
 });
 
-test("an overlong Retry-After is told cut", () => {
+test("an unreadable Retry-After is returned truncated", () => {
     assert.equal(readRetryAfter({ "retry-after": "x".repeat(5000) }).unreadable?.length, 64);
 });
 
-test("without the header there is nothing to wait for", () => {
+test("a response without the header has no delay", () => {
     assert.deepEqual(readRetryAfter({}), { delayMs: undefined, unreadable: undefined });
 });
 
-describe("a rest is asked for by", () => {
-    const restOf = (status: number): number | undefined => readBackoff(status, { "retry-after": "3" }).backoffMs;
+describe("a backoff is requested by", () => {
+    const backoffOf = (status: number): number | undefined => readBackoff(status, { "retry-after": "3" }).backoffMs;
 
-    test("a status that turns the request away", () => {
-        assert.deepEqual([restOf(503), restOf(429)], [3000, 3000]);
+    test("the statuses 503 and 429", () => {
+        assert.deepEqual([backoffOf(503), backoffOf(429)], [3000, 3000]);
     });
 
-    test("no other", () => {
-        assert.deepEqual([200, 301, 404, 408, 421, 500, 502, 504].map(restOf), Array.from({ length: 8 }, () => undefined));
+    test("no other status", () => {
+        assert.deepEqual([200, 301, 404, 408, 421, 500, 502, 504].map(backoffOf), Array.from({ length: 8 }, () => undefined));
     });
 });
--- a/packages/daemon/test/startup.test.ts
+++ b/packages/daemon/test/startup.test.ts
@@ -1,8 +1,12 @@
+/**
+ * Guards against rejecting callers before the first platform read, and against callers that wait for it too long or without bound.
+ */
+
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import { ModelFleet } from "./model/model-fleet.js";
 
-/** Instances that have just lost power and do not know a configuration yet, with callers who wait already. */
+/** Creates instances that have just started and have no configuration yet. */
 const start = () =>
     new ModelFleet({
         instances: 4,
@@ -14,7 +18,7 @@
     });
 
 describe("callers of instances that have just started", () => {
-    test("wait for the first answer of the platform, and are served in time by their first try", async () => {
+    test("wait for the first response of the platform, and are served in time by their first try", async () => {
         const fleet = start();
         await fleet.startCallers(20);
         await fleet.clock.advance(80);
@@ -23,10 +27,10 @@
         await fleet.clock.advance(3000);
         assert.equal(fleet.results.length, 20);
         assert.equal(fleet.shareServedWithin(1), 1);
-        assert.ok(fleet.shareWithinTarget(0, 1) > 0.95, `${fleet.shareWithinTarget(0, 1)} in time`);
+        assert.ok(fleet.shareWithinTarget(0, 1) > 0.95, `${fleet.shareWithinTarget(0, 1)} within the target`);
     });
 
-    test("are refused at once when the platform fails", async () => {
+    test("are rejected at once when the platform fails", async () => {
         const fleet = start();
         const before = fleet.sendRequest(4000);
         await fleet.clock.advance(50);
@@ -37,16 +41,16 @@
         assert.equal(fleet.clock.nowMs(), 50);
     });
 
-    test("are refused after half a second when nothing answers", async () => {
+    test("are rejected after half a second without a response of the platform", async () => {
         const fleet = start();
-        const asked = fleet.sendRequest(4000);
+        const response = fleet.sendRequest(4000);
         await fleet.clock.advance(0);
         await fleet.clock.advance(500);
         await fleet.clock.advance(0);
-        assert.equal((await asked).status, 503);
+        assert.equal((await response).status, 503);
     });
 
-    test("are as many as a start can keep; the next is refused at once", async () => {
+    test("wait up to the maximum number; further ones are rejected at once", async () => {
         const fleet = start();
         const statuses: number[] = [];
         Array.from({ length: 4 * 600 }, () => void fleet.sendRequest(4000).then(({ status }) => statuses.push(status)));
--- a/packages/daemon/test/store-outage.test.ts
+++ b/packages/daemon/test/store-outage.test.ts
@@ -1,10 +1,14 @@
+/**
+ * Guards against stale instances, and against a surge of calls, when the platform store returns after an outage or all instances restart.
+ */
+
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import type { PlatformLink } from "../src/platform/platform-link.js";
 import { advanceAndPublish, currentReaders, enableCallers, startFleet } from "./model/store-scenario.js";
 
-describe("no instance in touch falls behind by more than the bound when", () => {
-    test("the store is back after it was away for all, which cost few calls", async () => {
+describe("no connected instance exceeds the staleness bound when", () => {
+    test("the store recovers from an outage for all instances, with few calls meanwhile", async () => {
         const fleet = startFleet(40);
         await advanceAndPublish(fleet, 14, 0);
         enableCallers(fleet);
@@ -12,17 +16,17 @@
         const before = fleet.calls;
         fleet.isDown = true;
         await advanceAndPublish(fleet, 5, 0);
-        const away = fleet.calls - before;
+        const outageCalls = fleet.calls - before;
         fleet.publish();
         fleet.isDown = false;
         await fleet.clock.advance(2000);
         const behind = fleet.staleInstances(0);
         fleet.stop();
         assert.deepEqual(behind, []);
-        assert.ok(away < 120, `${away} calls in 5 s`);
+        assert.ok(outageCalls < 120, `${outageCalls} calls in 5 s`);
     });
 
-    test("readers have to be found among those that tried in vain while the store was away", async () => {
+    test("new readers have to be selected among instances whose calls failed during an outage", async () => {
         const fleet = startFleet(40);
         await advanceAndPublish(fleet, 14, 0);
         enableCallers(fleet);
@@ -30,14 +34,14 @@
         await advanceAndPublish(fleet, 8, 0);
         fleet.isDown = false;
         await advanceAndPublish(fleet, 3, 0);
-        const tried = [...fleet.instances.values()].filter(running => running.fleet?.members.self.platformReachable === false);
+        const failed = [...fleet.instances.values()].filter(running => running.fleet?.members.self.platformReachable === false);
         currentReaders(fleet).forEach(id => fleet.kill(id));
         const behind = await advanceAndPublish(fleet, 10, 5);
         fleet.stop();
-        assert.deepEqual(behind, [], `${tried.length} had tried`);
+        assert.deepEqual(behind, [], `the calls of ${failed.length} had failed`);
     });
 
-    test("the check sees a link that never asks", async () => {
+    test("a link never calls the store: the check detects it", async () => {
         const injectFault = (link: PlatformLink): void => {
             link.start = () => undefined;
         };
@@ -50,7 +54,7 @@
     });
 });
 
-test("all of 40 instances that lost power together know within 3 s of joining what was published, for few calls", async () => {
+test("40 instances that restart together have the published state within 3 s of joining, with few calls", async () => {
     const fleet = startFleet(40);
     await advanceAndPublish(fleet, 14, 0);
     enableCallers(fleet);
--- a/packages/daemon/test/store-partial-outage.test.ts
+++ b/packages/daemon/test/store-partial-outage.test.ts
@@ -1,18 +1,15 @@
 /**
- * The store fell silent for 35 of 99 instances, both readers and some relays among them. Six had noticed within 40 ms of each other; that
- * was taken for a store that is away for all, since it was counted against a fixed number whatever the size of the fleet. So the two blind
- * readers stayed the readers, and everyone who heard from them that they know no better left it to them to try ("event":210 at both readers at 4.62 and 4.64 s, none of 64 others that the store
- * served asked again for up to 20 s). A version of the configuration was acted on 4.7 s after its acknowledgement.
+ * Guards against treating a partial outage of the platform store as a complete one, so that readers without access stay the readers.
  */
 
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import { advanceAndPublish, currentReaders, enableCallers, startFleet } from "./model/store-scenario.js";
 
-/** Calls that each instance may make in 12 s: the fewest that keep the bound without any source are five. */
-const maximumCallsPerInstance = 5;
+/** Calls that each instance may make in 12 s: five suffice to keep the staleness bound without a reader or relay. */
+const callsEach = 5;
 
-describe("no instance falls behind by more than the bound while the store is silent for all readers and a share of the others:", () => {
+describe("no instance exceeds the staleness bound while the store is unresponsive for all readers and for a share of the others:", () => {
     [[40, 0.35], [99, 0.35], [99, 0.6], [99, 0.8]].forEach(([size = 0, share = 0]) =>
         [1, 2, 3, 5].forEach(seed => {
             test(`${share} of ${size} instances, seed ${seed}`, async () => {
@@ -28,7 +25,7 @@
                 const behind = await advanceAndPublish(fleet, 12, 6);
                 fleet.stop();
                 assert.deepEqual(behind, []);
-                assert.ok(fleet.calls - before < maximumCallsPerInstance * size, `${fleet.calls - before} calls`);
+                assert.ok(fleet.calls - before < callsEach * size, `${fleet.calls - before} calls`);
             });
         })
     );
--- a/packages/daemon/test/threshold-log.test.ts
+++ b/packages/daemon/test/threshold-log.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against log lines for occasional events, and against more than one line per interval for frequent ones.
+ */
+
 import { FakeClock } from "@harrierhitch/core";
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -5,18 +9,18 @@
 import { events } from "../src/telemetry/event.js";
 import { ThresholdLog } from "../src/telemetry/threshold-log.js";
 
-test("what happens now and then is not told, and what keeps on is told once in each interval", async () => {
+test("occasional events are not logged, and continuous events are logged once in each interval", async () => {
     const clock = new FakeClock();
     const lines: string[] = [];
     const log = new EventLog({ level: "info", clock, destination: { write: line => lines.push(line) } });
-    const line = new ThresholdLog({ clock, log, event: events.exchangesLimited, threshold: 10, intervalMs: 10_000 });
+    const thresholdLog = new ThresholdLog({ clock, log, event: events.exchangesLimited, threshold: 10, intervalMs: 10_000 });
     for (let second = 0; second < 60; second += 2) {
-        line.record();
+        thresholdLog.record();
         await clock.advance(2000);
     }
     assert.deepEqual(lines, []);
     for (let step = 0; step < 300; step += 1) {
-        line.record();
+        thresholdLog.record();
         await clock.advance(100);
     }
     assert.equal(lines.length, 3);
--- a/packages/daemon/test/withdrawn.test.ts
+++ b/packages/daemon/test/withdrawn.test.ts
@@ -1,6 +1,5 @@
 /**
- * A request that was chosen for an upstream may wait until one of its few connections is free, or until a new one is
- * there, and the upstream may say meanwhile that it leaves or wants a rest.
+ * Guards against sending a request that waited for a connection to an upstream that meanwhile began to drain or to back off.
  */
 
 import { serviceName, upstreamId } from "@harrierhitch/core";
@@ -11,12 +10,12 @@
 import { HttpTransport } from "../src/upstream/http-transport.js";
 import type { ResponseSink, UpstreamRequest } from "../src/upstream/upstream-transport.js";
 
-const seen: string[] = [];
-const held: ServerResponse[] = [];
+const receivedPaths: string[] = [];
+const pendingResponses: ServerResponse[] = [];
 const server = createServer((request, response) => {
-    seen.push(request.url ?? "");
+    receivedPaths.push(request.url ?? "");
     if (request.url === "/held") {
-        held.push(response);
+        pendingResponses.push(response);
     }
     else {
         response.end();
@@ -39,7 +38,7 @@
 });
 
 beforeEach(() => {
-    seen.length = 0;
+    receivedPaths.length = 0;
 });
 
 const open = () => {
@@ -58,44 +57,44 @@
 
 const withdrawn = { end: "withdrawn", status: undefined, sent: false, refused: false };
 
-describe("a request that its upstream may no longer get is withdrawn, and nothing of it is sent,", () => {
-    test("when it had waited for a connection", async () => {
+describe("a request that may no longer be sent to its upstream is withdrawn without sending any of it", () => {
+    test("if it waited for a connection", async () => {
         const { transport, upstream } = open();
         const first = transport.send(upstream, request("/held"), sink);
         let mayBegin = true;
         const second = transport.send(upstream, request("/second", () => mayBegin), sink);
-        while (held.length === 0) {
+        while (pendingResponses.length === 0) {
             await new Promise(resolve => setTimeout(resolve, 1));
         }
         mayBegin = false;
-        held.pop()!.end();
+        pendingResponses.pop()!.end();
         assert.equal((await first.result).end, "answered");
         const { detail, ...result } = await second.result;
         assert.deepEqual(result, withdrawn);
         assert.notEqual(detail, "");
         assert.equal((await transport.send(upstream, request("/third"), sink).result).end, "answered");
-        assert.deepEqual(seen, ["/held", "/third"]);
+        assert.deepEqual(receivedPaths, ["/held", "/third"]);
         await transport.close();
     });
 
-    test("when its connection had first to be opened", async () => {
+    test("if its connection had to be opened first", async () => {
         const { transport, upstream } = open();
-        let looks = 0;
+        let checks = 0;
         const mayBegin = (): boolean => {
-            looks += 1;
-            return looks < 2;
+            checks += 1;
+            return checks < 2;
         };
         const { detail: _, ...result } = await transport.send(upstream, request("/first", mayBegin), sink).result;
         assert.deepEqual(result, withdrawn);
         assert.equal((await transport.send(upstream, request("/second"), sink).result).end, "answered");
-        assert.deepEqual(seen, ["/second"]);
+        assert.deepEqual(receivedPaths, ["/second"]);
         await transport.close();
     });
 
-    test("and is sent where it may", async () => {
+    test("and is sent otherwise", async () => {
         const { transport, upstream } = open();
         assert.equal((await transport.send(upstream, request("/first", () => true), sink).result).end, "answered");
-        assert.deepEqual(seen, ["/first"]);
+        assert.deepEqual(receivedPaths, ["/first"]);
         await transport.close();
     });
 });
