--- a/packages/daemon/test/backoff.test.ts
+++ b/packages/daemon/test/backoff.test.ts
@@ -33,7 +33,7 @@
         assert.ok(shareWithinTarget > 0.97, `within the target: ${shareWithinTarget}`);
     });
 
-    test("receive requests again after it", async () => {
+    test("receive requests again after the backoff", async () => {
         const fleet = new ModelFleet(fleetOptions);
         await fleet.load(60, 1000);
         const [first] = upstreamsOf(fleet);
--- a/packages/daemon/test/burst.test.ts
+++ b/packages/daemon/test/burst.test.ts
@@ -6,7 +6,7 @@
 import { describe, test } from "node:test";
 import { ModelFleet } from "./model/model-fleet.js";
 
-/** The 4 upstreams serve 4 × 4 / 0.2 = 80 requests per second at the utilization of their knee, and 71 when all slots are in use. */
+/** The 4 upstreams serve 4 × 4 / 0.2 = 80 requests per second at their knee, and 71 when all slots are in use. */
 const fleetOptions = {
     instances: 5,
     upstreams: 4,
--- a/packages/daemon/test/components.test.ts
+++ b/packages/daemon/test/components.test.ts
@@ -73,7 +73,7 @@
         assert.equal(queue.expectedWaitMs(last), 30);
     });
 
-    test("displaces its request of the lowest weight for one of higher weight when it is full, not for one of equal weight", async () => {
+    test("displaces its request of the lowest weight when it is full, only for one of higher weight", async () => {
         const { clock, queue, results, add } = start();
         add("read1", "a", 1);
         add("read2", "a", 1);
--- a/packages/daemon/test/hedge.test.ts
+++ b/packages/daemon/test/hedge.test.ts
@@ -1,5 +1,5 @@
 /**
- * Guards against a hedge that is given up because no better upstream was available at its first check.
+ * Guards against giving up on a hedge when no better upstream was available at its first check.
  */
 
 import assert from "node:assert/strict";
--- a/packages/daemon/test/held-probes.test.ts
+++ b/packages/daemon/test/held-probes.test.ts
@@ -1,5 +1,5 @@
 /**
- * Guards against held requests that send more probes the more often they are decided, or the more of them wait.
+ * Guards against an excess of probes by held requests.
  */
 
 import assert from "node:assert/strict";
--- a/packages/daemon/test/model/model-upstream.ts
+++ b/packages/daemon/test/model/model-upstream.ts
@@ -82,7 +82,7 @@
         this.limits.recordAnnouncement(perSecond, this.options.clock.nowMs());
     }
 
-    /** Returns the backoff for an instance whose request is rejected, in milliseconds; `undefined` while requests are accepted. */
+    /** Returns the backoff in milliseconds for an instance whose request is rejected; `undefined` while requests are accepted. */
     requestBackoff(instance: string): number | undefined {
         const nowMs = this.options.clock.nowMs();
         if (this.rejection === undefined || nowMs >= this.rejection.untilMs) {
--- a/packages/daemon/test/moderate-load.test.ts
+++ b/packages/daemon/test/moderate-load.test.ts
@@ -53,7 +53,7 @@
         medianMs: 260,
     },
     {
-        name: "service times above the target that they report",
+        name: "service times above the target, which their load reports show",
         upstream: { slots: 6, queue: 12, workMs: 200, slowShare: 1, slowFactor: 4 },
         perSecond: 15,
         firstTryShare: 0.94,
@@ -61,7 +61,7 @@
         medianMs: 1040,
     },
     {
-        name: "service times above the target that they don't report",
+        name: "service times above the target, which their load reports don't show",
         upstream: { slots: 6, queue: 12, workMs: 800 },
         perSecond: 15,
         firstTryShare: 0.95,
--- a/packages/daemon/test/platform-link.test.ts
+++ b/packages/daemon/test/platform-link.test.ts
@@ -161,7 +161,7 @@
         assert.ok(fleet.stalenessTracker.stalenessMs < 1100);
     });
 
-    test("that receives confirmations from a reader does not call the platform, and does so after 1.5 s without one", async () => {
+    test("that receives confirmations from a reader calls the platform only after 1.5 s without one", async () => {
         const { clock, platform, link, fleet } = await startLink([memberName(true)]);
         for (let round = 0; round < 3; round += 1) {
             await clock.advance(1000);
@@ -193,7 +193,7 @@
     });
 });
 
-test("an instance of a large fleet whose calls failed while others were readers reads at once when it becomes the reader", async () => {
+test("an instance of a large fleet whose calls failed before reads at once when it becomes the reader", async () => {
     const others = Array.from({ length: 300 }, (_, index) => `other-${index}`);
     const { clock, platform, link, fleet } = await startLink(others);
     await clock.advance(100);
--- a/packages/daemon/test/quarantine-trials.test.ts
+++ b/packages/daemon/test/quarantine-trials.test.ts
@@ -1,5 +1,6 @@
 /**
- * Guards against a frequent request that stays quarantined after crashes that it did not cause, and against trials that crash many upstreams.
+ * Guards against quarantining a frequent request for crashes that it did not cause without ever trying it again,
+ * and against trials that crash many upstreams.
  */
 
 import { FakeClock, type RequestId, requestId, requestKey, SeededRandom } from "@harrierhitch/core";
--- a/packages/daemon/test/request-hold.test.ts
+++ b/packages/daemon/test/request-hold.test.ts
@@ -1,5 +1,5 @@
 /**
- * Guards against rejecting a request whose hold time ended while its policy still has to decide, and against holding without time left.
+ * Guards against rejecting a request whose hold time ended before its last decision, and against holding without time left.
  */
 
 import { FakeClock } from "@harrierhitch/core";
--- a/packages/daemon/test/startup.test.ts
+++ b/packages/daemon/test/startup.test.ts
@@ -1,5 +1,5 @@
 /**
- * Guards against rejecting callers before the first platform read, and against callers that wait for it too long or without bound.
+ * Guards against rejecting callers before the first platform read, and against too many or too long waits for it.
  */
 
 import assert from "node:assert/strict";
--- a/packages/daemon/test/store-outage.test.ts
+++ b/packages/daemon/test/store-outage.test.ts
@@ -1,5 +1,5 @@
 /**
- * Guards against stale instances, and against a surge of calls, when the platform store returns after an outage or all instances restart.
+ * Guards against stale instances and a surge of calls when the platform store recovers from an outage or all instances restart.
  */
 
 import assert from "node:assert/strict";
@@ -41,7 +41,7 @@
         assert.deepEqual(behind, [], `the calls of ${failed.length} had failed`);
     });
 
-    test("a link never calls the store: the check detects it", async () => {
+    test("the check detects a link that never calls the store", async () => {
         const injectFault = (link: PlatformLink): void => {
             link.start = () => undefined;
         };
--- a/packages/daemon/test/store-partial-outage.test.ts
+++ b/packages/daemon/test/store-partial-outage.test.ts
@@ -1,15 +1,15 @@
 /**
- * Guards against treating a partial outage of the platform store as a complete one, so that readers without access stay the readers.
+ * Guards against treating a partial outage of the platform store as complete, so that readers without access stay readers.
  */
 
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import { advanceAndPublish, currentReaders, enableCallers, startFleet } from "./model/store-scenario.js";
 
-/** Calls that each instance may make in 12 s: five suffice to keep the staleness bound without a reader or relay. */
+/** Calls that each instance may make in 12 s: five are the minimum for the staleness bound without a reader or relay. */
 const callsEach = 5;
 
-describe("no instance exceeds the staleness bound while the store is unresponsive for all readers and for a share of the others:", () => {
+describe("no instance exceeds the staleness bound while the store is unresponsive for all readers and some others:", () => {
     [[40, 0.35], [99, 0.35], [99, 0.6], [99, 0.8]].forEach(([size = 0, share = 0]) =>
         [1, 2, 3, 5].forEach(seed => {
             test(`${share} of ${size} instances, seed ${seed}`, async () => {
