--- a/packages/configuration/src/configuration.ts
+++ b/packages/configuration/src/configuration.ts
@@ -110,41 +110,41 @@
     values: ConfigurationValues,
     { discoversUpstreams = false, policies }: ConfigurationContext,
 ): readonly Finding[] => {
-    const finding = (section: string, key: string, message: string): Finding => {
+    const findingAt = (section: string, key: string, message: string): Finding => {
         return { file: document.file, section, key, line: document.lineOf(section, key), message };
     };
-    const reference = (section: string, key: string, target: "policy" | "service" | "kind", name: string) =>
+    const checkReference = (section: string, key: string, target: "policy" | "service" | "kind", name: string) =>
         Object.hasOwn(values[target], name) || target === "policy" && policies?.has(name) === true
             ? []
-            : [finding(section, key, `there is no section [${target}.${name}]`)];
+            : [findingAt(section, key, `there is no section [${target}.${name}]`)];
     const upstreams = Object.entries(values.upstream);
     const routes = Object.entries(values.route);
-    const sameUpstream = findDuplicates(upstreams, other => `${other.address}:${other.port}`);
-    const sameRoute = findDuplicates(routes, routeIdentity);
+    const duplicatedUpstream = findDuplicates(upstreams, other => `${other.address}:${other.port}`);
+    const duplicatedRoute = findDuplicates(routes, routeIdentity);
     return [
         ...Object.entries(values.service).flatMap(([name, service]) => [
-            ...reference(`service.${name}`, "policy", "policy", service.policy),
+            ...checkReference(`service.${name}`, "policy", "policy", service.policy),
             ...(discoversUpstreams || upstreams.some(([, upstream]) => upstream.service === name)
                 ? []
-                : [finding(`service.${name}`, "", "no upstream belongs to this service, so all its requests would fail")]),
+                : [findingAt(`service.${name}`, "", "no upstream belongs to this service, so all its requests would fail")]),
         ]),
         ...upstreams.flatMap(([name, upstream]) => [
-            ...reference(`upstream.${name}`, "service", "service", upstream.service),
-            ...sameUpstream(name).map(first =>
-                finding(`upstream.${name}`, "port", `same address and port as [upstream.${first}]`)
+            ...checkReference(`upstream.${name}`, "service", "service", upstream.service),
+            ...duplicatedUpstream(name).map(first =>
+                findingAt(`upstream.${name}`, "port", `same address and port as [upstream.${first}]`)
             ),
         ]),
         ...routes.flatMap(([name, route]) => [
             ...parseServiceWeights(route.service).flatMap(({ service }) =>
-                reference(`route.${name}`, "service", "service", service)
+                checkReference(`route.${name}`, "service", "service", service)
             ),
-            ...reference(`route.${name}`, "kind", "kind", route.kind),
-            ...sameRoute(name).map(first => finding(`route.${name}`, "path", `same method and path as [route.${first}]`)),
+            ...checkReference(`route.${name}`, "kind", "kind", route.kind),
+            ...duplicatedRoute(name).map(first => findingAt(`route.${name}`, "path", `same method and path as [route.${first}]`)),
         ]),
         ...Object.entries(values.kind).flatMap(([name, kind]) =>
-            kind.policy === undefined ? [] : reference(`kind.${name}`, "policy", "policy", kind.policy)
+            kind.policy === undefined ? [] : checkReference(`kind.${name}`, "policy", "policy", kind.policy)
         ),
-        ...(routes.length === 0 ? [finding("", "", "there is no route, so every request would be rejected")] : []),
+        ...(routes.length === 0 ? [findingAt("", "", "there is no route, so every request would be rejected")] : []),
     ];
 };
 
--- a/packages/configuration/src/ini-document.ts
+++ b/packages/configuration/src/ini-document.ts
@@ -1,6 +1,6 @@
 /**
- * INI documents with the line number of each key. The library `ini` parses the
- * values; this module adds the line numbers, which the library does not provide.
+ * INI documents with the line number of each key. The library `ini` parses the values; this module adds the line numbers, which
+ * the library does not provide.
  *
  * @packageDocumentation
  */
--- a/packages/configuration/src/key.ts
+++ b/packages/configuration/src/key.ts
@@ -1,6 +1,6 @@
 /**
- * Schema builders for the keys of settings and configuration. Each key has a description,
- * unit, range and default, from which the reference documentation is generated.
+ * Schema builders for the keys of settings and configuration. Each key has a description, unit, range and default, from which
+ * the reference documentation is generated.
  *
  * @packageDocumentation
  */
--- a/packages/core/src/ids.ts
+++ b/packages/core/src/ids.ts
@@ -1,6 +1,6 @@
 /**
- * Identifier types. Each has its own brand, so that the compiler rejects, for
- * example, an upstream id where an instance id is expected.
+ * Identifier types. Each has its own brand, so that the compiler rejects, for example, an upstream id where an instance id is
+ * expected.
  *
  * @packageDocumentation
  */
--- a/packages/core/src/rendezvous.ts
+++ b/packages/core/src/rendezvous.ts
@@ -1,6 +1,6 @@
 /**
- * Rendezvous hashing: all instances compute the same order of nodes for a key,
- * and adding or removing a node reassigns only the keys of that node.
+ * Rendezvous hashing: all instances compute the same order of nodes for a key, and adding or removing a node reassigns only the
+ * keys of that node.
  *
  * @packageDocumentation
  */
@@ -29,16 +29,16 @@
 /** Bytes of the hash that form a weight; a number represents integers of this size exactly. */
 const weightBytes = 6;
 
-const cache = new Map<string, Map<string, number>>();
+const weightsByKey = new Map<string, Map<string, number>>();
 let cachedWeights = 0;
 
 const weightsFor = (key: string): Map<string, number> => {
-    const cached = cache.get(key);
+    const cached = weightsByKey.get(key);
     if (cached !== undefined) {
         return cached;
     }
     const weights = new Map<string, number>();
-    cache.set(key, weights);
+    weightsByKey.set(key, weights);
     return weights;
 };
 
@@ -48,7 +48,7 @@
         return cached;
     }
     if (cachedWeights >= maximumCachedWeights) {
-        cache.forEach(weightsOfKey => weightsOfKey.clear());
+        weightsByKey.forEach(weightsOfKey => weightsOfKey.clear());
         cachedWeights = 0;
     }
     cachedWeights += 1;
--- a/packages/decision/src/adaptive-chooser.ts
+++ b/packages/decision/src/adaptive-chooser.ts
@@ -1,5 +1,5 @@
 /**
- * The default chooser.
+ * The adaptive chooser, which is the default.
  *
  * @packageDocumentation
  */
@@ -9,19 +9,19 @@
 import type { Chooser, ChooserInput, Selection } from "./chooser.js";
 import { allIndexes, selectLowest } from "./compare.js";
 
-/** Time constant with which a load report loses weight, in milliseconds. */
+/** Time constant of the decay of a load report, in milliseconds. */
 const reportDecayMs = 100;
 
-/** Weight of a full report against one request of this instance in flight. */
+/** Cost of a new load report with all slots in use, in requests in flight. */
 const reportWeight = 0.5;
 
 /** Cost of another availability zone, in requests in flight: it only breaks ties. */
 const zoneWeight = 0.05;
 
-/** Cost of an upstream that has just started, in requests in flight. */
+/** Cost of a `cold` upstream, in requests in flight. */
 const coldWeight = 1;
 
-/** Multiple of the median latency up to which differences are treated as noise. */
+/** Multiple of the median latency above which a latency adds to the load. */
 const slowLatencyRatio = 2;
 
 /** Cost of a failure rate of one, in requests in flight. */
--- a/packages/decision/src/admission.ts
+++ b/packages/decision/src/admission.ts
@@ -1,5 +1,5 @@
 /**
- * Whether an upstream may receive a request of this instance now, regardless of how well it performs.
+ * Admission: whether an upstream may receive a request of this instance now.
  *
  * @packageDocumentation
  */
@@ -73,7 +73,7 @@
         return maySend;
     }
 
-    /** How long an upstream accepts nothing from this instance. */
+    /** Returns how long an upstream accepts no requests of this instance, with its state. */
     waitOf({ upstream, estimate: { state } }: TrackedUpstream): UpstreamWait {
         return { state, restMs: this.backoffMs(upstream), shareInMs: this.paceOf(upstream)?.waitMs ?? 0 };
     }
@@ -101,7 +101,7 @@
         }
     }
 
-    /** Whether an upstream may be selected at a given time. */
+    /** Whether an upstream may be selected now. */
     isEligible(tracked: TrackedUpstream, nowMs: number): boolean {
         const { upstream, inFlightRequests } = tracked;
         const estimate = atTime(tracked.estimate, nowMs);
--- a/packages/decision/src/attempt-result.ts
+++ b/packages/decision/src/attempt-result.ts
@@ -34,7 +34,7 @@
 }
 
 /**
- * Returns whether a request ran, as far as the end of its attempt shows it.
+ * Returns whether a request ran, as far as the end of its attempt shows.
  *
  * The result is `not-run` only if the upstream reported it or nothing was sent. After a reset, a timeout or a cancellation it
  * is `unknown`.
--- a/packages/decision/src/caller-timeout-estimator.ts
+++ b/packages/decision/src/caller-timeout-estimator.ts
@@ -4,45 +4,44 @@
  * @packageDocumentation
  */
 
-/** Arrivals that are stored for each kind. */
+/** Most arrivals that are stored for each kind. */
 const maximumArrivals = 64;
 
-/** Arrivals from which there is an estimate. */
+/** Fewest arrivals for an estimate. */
 const minimumArrivals = 8;
 
 /**
- * Quantile of the remaining timeouts that belongs to a first attempt: most higher ones belong to callers with another timeout,
- * most lower ones to retries, whose timeout is partly used up.
+ * Quantile of the remaining timeouts that is taken as the timeout of a first attempt. Lower ones are mostly those of retries,
+ * whose timeout is partly used up; higher ones are those of callers with a longer timeout.
  */
 const firstAttemptQuantile = 0.8;
 
 /**
- * Estimates from the remaining timeouts of arriving requests.
- *
- * Without it, retries would count as new requests and take the place of those that can still be in time.
+ * Estimates from the remaining timeouts of arriving requests how long ago their callers sent the first attempt, so that retries
+ * do not take the place of requests that can still be in time.
  */
 export class CallerTimeoutEstimator {
-    private readonly recent = new Map<string, number[]>();
+    private readonly timeoutsByKind = new Map<string, number[]>();
 
     /**
      * Records an arrival.
      *
      * @param kind - The kind of the request.
-     * @param remainingMs - How long its caller still waits.
+     * @param remainingMs - Remaining timeout of its caller.
      * @returns Estimated time since the caller's first attempt, in milliseconds; 0 without enough arrivals.
      */
     record(kind: string, remainingMs: number): number {
-        const arrivals = this.recent.get(kind) ?? [];
-        arrivals.push(remainingMs);
-        if (arrivals.length > maximumArrivals) {
-            arrivals.shift();
+        const timeoutsMs = this.timeoutsByKind.get(kind) ?? [];
+        timeoutsMs.push(remainingMs);
+        if (timeoutsMs.length > maximumArrivals) {
+            timeoutsMs.shift();
         }
-        this.recent.set(kind, arrivals);
-        return arrivals.length < minimumArrivals ? 0 : Math.max(0, firstAttemptTimeout(arrivals) - remainingMs);
+        this.timeoutsByKind.set(kind, timeoutsMs);
+        return timeoutsMs.length < minimumArrivals ? 0 : Math.max(0, firstAttemptTimeoutMs(timeoutsMs) - remainingMs);
     }
 }
 
-const firstAttemptTimeout = (arrivals: readonly number[]): number => {
-    const sorted = [...arrivals].sort((a, b) => a - b);
+const firstAttemptTimeoutMs = (timeoutsMs: readonly number[]): number => {
+    const sorted = [...timeoutsMs].sort((a, b) => a - b);
     return sorted[Math.floor(sorted.length * firstAttemptQuantile)] ?? 0;
 };
--- a/packages/decision/src/cold-admission.ts
+++ b/packages/decision/src/cold-admission.ts
@@ -17,7 +17,7 @@
 export interface ColdAdmission {
     /** Whether a request of this instance may go to a cold upstream now. */
     mayAdmit(upstream: ColdUpstream): boolean;
-    /** Records that a request is sent there. */
+    /** Records that a request is sent to a cold upstream. */
     recordSent(upstream: ColdUpstream): void;
 }
 
@@ -42,7 +42,8 @@
 /**
  * Assigns each cold upstream to a few instances, which send to it at even intervals. The other instances send nothing.
  *
- * Even intervals limit the sum in every second, not only on average, also while parts of the fleet are separated.
+ * Even intervals bound the number of requests in every second, and not only on average. Each part of a partitioned fleet has its
+ * own participants.
  */
 export class SharedColdAdmission implements ColdAdmission {
     private readonly sentAtMs = new Map<UpstreamId, number>();
@@ -67,5 +68,5 @@
     }
 }
 
-/** Time after which a sent request is evicted, in milliseconds: longer than any interval. */
+/** Time after which a sent request is evicted, in milliseconds: longer than the interval at usual rates. */
 const retentionMs = 60_000;
--- a/packages/decision/src/compare.ts
+++ b/packages/decision/src/compare.ts
@@ -41,7 +41,7 @@
 /**
  * Samples distinct candidates at random.
  *
- * @param input - The chooser's input; random number `k + 1` selects the `k`-th candidate.
+ * @param input - The chooser's input; the random number at index `k + 1` selects candidate `k` of the sample.
  * @param count - How many, at most as many as there are random numbers left.
  */
 export const sampleIndexes = (input: ChooserInput, count: number): readonly number[] => {
--- a/packages/decision/src/contention.ts
+++ b/packages/decision/src/contention.ts
@@ -31,10 +31,10 @@
 /** Share of the slots in use above which an upstream is assumed to slow down. */
 const assumedKnee = 0.8;
 
-/** Factor assumed above the knee: enough to keep the last slots free. */
+/** Factor assumed above the knee: so high that the throughput is highest at the knee. */
 const assumedFactor = 1.7;
 
-/** Samples from which a step is considered known. */
+/** Fewest samples that determine the factor of a step. */
 const minimumSamples = 3;
 
 /** Samples that are stored for each step. */
@@ -65,7 +65,7 @@
 };
 
 /** Expected requests in flight below which an upstream counts as idle. */
-const idleBelow = 0.5;
+const idleThreshold = 0.5;
 
 /**
  * Returns how much longer one more request takes at an upstream than it would alone there.
@@ -80,7 +80,7 @@
     const factorWith = (others: number): number => factorAt(factors, (others + 1) / slots);
     const lower = Math.floor(inFlight);
     const fraction = inFlight - lower;
-    return inFlight < idleBelow ? 1 : ((1 - fraction) * factorWith(lower) + fraction * factorWith(lower + 1)) / factorWith(0);
+    return inFlight < idleThreshold ? 1 : ((1 - fraction) * factorWith(lower) + fraction * factorWith(lower + 1)) / factorWith(0);
 };
 
 const factorAt = (factors: ContentionFactors, utilization: number): number => factors[stepOf(utilization)] ?? 1;
@@ -111,11 +111,11 @@
     optimistic: toFactors(samples, () => 1),
 });
 
-/** Merges steps whose factors decrease because of noise in few samples. */
+/** Returns the factor of each step; merges steps whose factors decrease, which is noise. */
 const toFactors = (samples: ContentionCurve["samples"], assumed: (utilization: number) => number): ContentionFactors => {
     const firstKnown = samples.findIndex(step => step.length >= minimumSamples);
-    // If the idle step has too few samples, it is inferred from the first step with enough: the baseline may be off by some
-    // factor.
+    // The baseline may be wrong by some factor. If the idle step has too few samples, that factor is inferred from the first step
+    // with enough.
     const base = firstKnown < 0 ? 1 : toPool(samples[firstKnown] ?? [], 1).factor / assumed(utilizationSteps[firstKnown] ?? 1);
     const pools = samples.map((step, index) => toPool(step, base * assumed(utilizationSteps[index] ?? 1)));
     const merged = pools.reduce<readonly Pool[]>((previous, pool) => mergeDecreasing([...previous, pool]), []);
@@ -132,7 +132,7 @@
     readonly steps: number;
 }
 
-/** Takes the median, because requests that were queued first are few but far above the others. */
+/** Uses the median: requests that were queued first are few, but their times are far above the others. */
 const toPool = (samples: readonly ServiceTimeSample[], assumed: number): Pool => {
     if (samples.length < minimumSamples) {
         return { factor: assumed, weight: 1, steps: 1 };
--- a/packages/decision/src/crash-record.ts
+++ b/packages/decision/src/crash-record.ts
@@ -13,10 +13,10 @@
     /** Key of the request. */
     readonly key: RequestKey;
     readonly upstream: string;
-    /** When the upstream crashed, on this instance's clock, without network delay; the record expires by it. */
+    /** When the upstream crashed, on this instance's clock; the delay of gossip is ignored. Determines when the record expires. */
     readonly endedAtMs: number;
     /**
-     * The same by the wall clock of the instance that recorded it, in milliseconds since the Unix epoch. Detection uses this
+     * The same on the wall clock of the instance that recorded it, in milliseconds since the Unix epoch. Detection uses this
      * time, so that all instances reach the same result.
      */
     readonly endedAtUnixMs: number;
--- a/packages/decision/src/decide.ts
+++ b/packages/decision/src/decide.ts
@@ -18,10 +18,10 @@
     & Pick<ServicePolicy, "policy" | "chooser" | "refuseRetryAfterMs">
     & Partial<Pick<ServicePolicy, "refuseRetryAfterPercent">>;
 
-/** Largest deviation of a caller's retry time to either side, as a share of it. */
+/** Largest jitter of a caller's retry time in either direction, as a share of it. */
 const retryJitter = 0.25;
 
-/** Time after a refusal because of rate limits during which permits count as scarce, in milliseconds. */
+/** Time for which permits count as scarce after a refusal because of rate limits, in milliseconds. */
 const scarceMs = 1000;
 
 /** Retry time of a caller that was refused for lack of upstreams, in milliseconds. */
@@ -53,7 +53,7 @@
     const { policy, chooser } = servicePolicy;
     const { request, service } = input;
     if (input.upstreams.every(({ state }) => state === "draining")) {
-        // Waiting is useless: all upstreams are draining, or their availability zones are out of service.
+        // Waiting is useless: all upstreams are draining, or none is in service.
         return decideWithoutCandidates(input.upstreams.map(exclusionOf), undefined);
     }
     const waitMs = earliestAvailableMs(input.upstreams);
@@ -84,7 +84,7 @@
     return selectAmong(chooser, input, exclusions, candidates, rankBy(servicePolicy, input), undefined);
 };
 
-/** Returns when a caller that was refused should retry, in milliseconds. */
+/** Returns the time after which a caller that was refused should retry, in milliseconds. */
 export const retryAfterOf = (
     { refuseRetryAfterMs, refuseRetryAfterPercent = 0 }: DecisionPolicy,
     request: Pick<RequestFacts, "targetMs">,
@@ -151,8 +151,8 @@
 };
 
 /**
- * Whether a request whose target time has passed must leave the next permit to requests that can still be in time: while all
- * upstreams announce rate limits and such requests are refused.
+ * Whether a request that has missed its target must leave the next permit to requests that can still meet theirs: while all
+ * upstreams announce rate limits and such requests were refused a short time ago.
  */
 const mustLeavePermit = ({ request, service, upstreams }: DecisionInput): boolean => {
     const notDraining = upstreams.filter(({ state }) => state !== "draining");
@@ -195,8 +195,8 @@
 ): Decision => {
     const { draws, sequence } = input;
     const selection = choosers[chooserName].select({ candidates, rank, draws, sequence });
-    let candidate = 0;
-    const scores = exclusions.map(exclusion => exclusion === undefined ? selection.scores[candidate++] : undefined);
+    let candidateIndex = 0;
+    const scores = exclusions.map(exclusion => exclusion === undefined ? selection.scores[candidateIndex++] : undefined);
     return {
         action: "choose",
         upstream: upstreamId(candidates[selection.index]?.id ?? ""),
--- a/packages/decision/src/decision-input.ts
+++ b/packages/decision/src/decision-input.ts
@@ -14,7 +14,7 @@
     readonly upstreams: readonly UpstreamFacts[];
     /** Ids of the upstreams that this request has already tried. */
     readonly tried: readonly string[];
-    /** Random numbers for the chooser, each at least 0 and below 1. */
+    /** Random numbers for the chooser and for retry times, each at least 0 and below 1. */
     readonly draws: readonly number[];
     /** Sequence number of the decision within its service, for round-robin. */
     readonly sequence: number;
--- a/packages/decision/src/decision.ts
+++ b/packages/decision/src/decision.ts
@@ -36,8 +36,8 @@
 export interface HoldDecision extends DecisionBase {
     readonly action: "hold";
     /**
-     * Whether the policy, the concurrency limits of this instance, or a backoff or rate limits of all upstreams that end in
-     * time make it wait.
+     * Why it waits: because of the policy, because the upstreams are at their limit for this instance, or until the backoff
+     * (`resting`) or the rate limit (`limited`) of an upstream permits it.
      */
     readonly cause: "policy" | "at-limit" | "resting" | "limited";
 }
--- a/packages/decision/src/expected-time-chooser.ts
+++ b/packages/decision/src/expected-time-chooser.ts
@@ -9,13 +9,13 @@
 import type { Chooser, ChooserInput, Selection } from "./chooser.js";
 import { allIndexes, selectLowest } from "./compare.js";
 
-/** Slowdown of an upstream that has just started. */
+/** Factor by which a `cold` upstream is assumed to be slower. */
 const coldSlowdown = 2;
 
 /** Cost of another availability zone, as a multiple of the baseline: its network delay, and the price of its traffic. */
 const zoneWeight = 0.15;
 
-/** Cost of full slots, as a multiple of the baseline: prefers the less loaded of two upstreams that are as fast. */
+/** Cost of full slots, as a multiple of the baseline: prefers the less loaded of two equally fast upstreams. */
 const busyWeight = 0.1;
 
 /** Cost of a failure rate of one, as a multiple of the baseline. */
--- a/packages/decision/src/incarnation-map.ts
+++ b/packages/decision/src/incarnation-map.ts
@@ -19,7 +19,7 @@
 }
 
 interface StoredValue<Value> {
-    /** The incarnation; 0 if unknown. */
+    /** When the incarnation began, in milliseconds since the Unix epoch; 0 if unknown. */
     readonly startedAtMs: number;
     /** Address and port, which identify an incarnation whose start is unknown. */
     readonly endpoint: string | undefined;
@@ -32,7 +32,7 @@
 /** Options of {@link IncarnationMap}. */
 export interface IncarnationMapOptions<Value> {
     readonly clock: Clock;
-    /** Until when a value applies to an unidentified incarnation at least, on the clock of this instance. */
+    /** Returns until when a value applies at least to an incarnation whose start is unknown, on the clock of this instance. */
     readonly lastsUntilMs: (value: Value) => number;
 }
 
@@ -56,7 +56,7 @@
     constructor(private readonly options: IncarnationMapOptions<Value>) {}
 
     /**
-     * Changes the value of an incarnation, unless a later one is known that did not send the notice.
+     * Changes the value of an incarnation, unless a later one is stored that cannot have sent the notice.
      *
      * @param incarnation - The incarnation.
      * @param saidAtUnixMs - When the upstream itself sent the notice, in milliseconds since the Unix epoch; 0 if others
@@ -71,7 +71,7 @@
         if (isOutdated) {
             return;
         }
-        // A notice about an unidentified incarnation is applied to the stored one, and must not replace its value.
+        // A notice about an incarnation whose start is unknown applies to the stored one, and must not replace its value.
         const previous = startedAtMs === 0 && stored !== undefined && stored.startedAtMs > 0
             ? stored
             : this.findApplicable(incarnation);
--- a/packages/decision/src/latency-baselines.ts
+++ b/packages/decision/src/latency-baselines.ts
@@ -6,10 +6,10 @@
 
 import type { Clock } from "@harrierhitch/core";
 
-/** Samples that are stored for each kind and group. */
+/** Most samples that are stored for each kind and group. */
 const maximumSamples = 64;
 
-/** Samples from which there is a baseline. */
+/** Fewest samples for a baseline. */
 const minimumSamples = 8;
 
 /** Expected response time, as a multiple of the baseline, up to which a sample counts as undisturbed. */
@@ -30,10 +30,11 @@
 /** Quantile for the slow end. */
 const highQuantile = 0.9;
 
-/** Ratio of the baseline to the low quantile: latencies vary by about a third without any disturbance. */
+/** Ratio of the baseline to the low quantile: latencies vary without any disturbance too. */
 const baselineRatio = 1.4;
 
 interface LatencySample {
+    /** Latency divided by the response time that was expected; undisturbed samples are not divided. */
     readonly baselineMs: number;
     readonly atMs: number;
 }
@@ -53,11 +54,11 @@
 }
 
 /** Time for which a summary is valid without new samples, in milliseconds. */
-const summaryMs = 500;
+const maximumSummaryAgeMs = 500;
 
 /** Estimates the baseline latency of each kind from the responses to this instance's requests. */
 export class LatencyBaselines {
-    private readonly recent = new Map<string, LatencySamples>();
+    private readonly samplesByKind = new Map<string, LatencySamples>();
     private readonly summaries = new Map<string, Summary>();
 
     /** @param clock - The clock. */
@@ -72,14 +73,14 @@
      *   from a slow or busy upstream is divided by it.
      */
     record(kind: string, latencyMs: number, expectedTime = 1): void {
-        const samples = this.recent.get(kind) ?? { undisturbed: [], disturbed: [] };
+        const samples = this.samplesByKind.get(kind) ?? { undisturbed: [], disturbed: [] };
         const isUndisturbed = expectedTime <= undisturbedExpectedTime;
         const group = isUndisturbed ? samples.undisturbed : samples.disturbed;
         group.push({ baselineMs: isUndisturbed ? latencyMs : latencyMs / expectedTime, atMs: this.clock.nowMs() });
         if (group.length > maximumSamples) {
             group.shift();
         }
-        this.recent.set(kind, samples);
+        this.samplesByKind.set(kind, samples);
         this.summaries.delete(kind);
     }
 
@@ -99,7 +100,7 @@
     private summaryOf(kind: string): Summary {
         const cached = this.summaries.get(kind);
         const nowMs = this.clock.nowMs();
-        if (cached !== undefined && nowMs - cached.atMs < summaryMs) {
+        if (cached !== undefined && nowMs - cached.atMs < maximumSummaryAgeMs) {
             return cached;
         }
         const summary = { ...this.summarize(kind), atMs: nowMs };
@@ -108,7 +109,7 @@
     }
 
     private summarize(kind: string): Omit<Summary, "atMs"> {
-        const { undisturbed = [], disturbed = [] } = this.recent.get(kind) ?? {};
+        const { undisturbed = [], disturbed = [] } = this.samplesByKind.get(kind) ?? {};
         const sorted = this.sortedSamples(undisturbed, undisturbedRetentionMs)
             ?? this.sortedSamples(disturbed, disturbedRetentionMs);
         if (sorted === undefined) {
--- a/packages/decision/src/limit-admission.ts
+++ b/packages/decision/src/limit-admission.ts
@@ -35,7 +35,7 @@
 /** Options of {@link LimitAdmission}. */
 export interface LimitAdmissionOptions {
     readonly clock: Clock;
-    /** Sets a random phase, so that the participants do not send at the same moment. */
+    /** Provides the phases of the schedules, so that participants do not send at the same moment. */
     readonly random: RandomSource;
     /** The announced rate limits. */
     readonly limits: UpstreamLimits;
@@ -56,19 +56,19 @@
  */
 const participantsPerRequest = 2;
 
-/** Fewest participants, so that one that left does not leave the upstream without any. */
+/** Fewest participants, so that the upstream still has one when another leaves the fleet. */
 const minimumParticipants = 2;
 
 /** Time for which an instance accumulates permits while it has nothing to send, in milliseconds; at least one permit. */
 const burstMs = 500;
 
 /**
- * Lowest rate, from all instances together, in requests per second: without requests nobody would notice the end of a lower
- * limit.
+ * Lowest rate from all instances together, in requests per second: without any requests, no response would show that a limit
+ * has ended.
  */
 const minimumPerSecond = 0.1;
 
-/** Time without a notice of a limit after which an instance that is no participant sends probing requests, in milliseconds. */
+/** Time without a notice of a limit after which non-participants send probing requests, in milliseconds. */
 const orphanTimeoutMs = 30_000;
 
 /** Share of a limit that all non-participants use together for probing requests. */
@@ -96,7 +96,7 @@
     /** @param options - The limits and this instance's share of them. */
     constructor(private readonly options: LimitAdmissionOptions) {}
 
-    /** Whether no upstream has announced a limit. */
+    /** Whether no upstream has ever announced a limit. */
     get hasNoLimits(): boolean {
         return this.options.limits.isEmpty;
     }
--- a/packages/decision/src/observation.ts
+++ b/packages/decision/src/observation.ts
@@ -72,14 +72,14 @@
     }
     | NoticeObservation
     | {
-        /** The upstream returned after draining: a new incarnation. */
+        /** A new incarnation of the upstream started, for example after draining. */
         readonly type: "returned";
         readonly atMs: number;
         /** Time for which it will respond slowly; the default if unknown. */
         readonly coldMs?: number | undefined;
     }
     | {
-        /** It will respond slowly for some time, according to itself or the directory, although it did not restart. */
+        /** It will respond slowly for some time although it did not restart, according to itself or the directory. */
         readonly type: "cooled";
         readonly atMs: number;
         readonly coldMs: number;
--- a/packages/decision/src/poison-detection.ts
+++ b/packages/decision/src/poison-detection.ts
@@ -23,8 +23,8 @@
 } from "./request-attributes.js";
 
 /**
- * Crashes after which a request is quarantined. With two, a request that was retried once and ran beside the cause both times
- * would be quarantined as well.
+ * Crashes after which a request is quarantined. Two are not enough: a request that was retried once may have run beside the
+ * cause both times.
  */
 const crashThreshold = 3;
 
@@ -38,13 +38,13 @@
 const resolutionMs = 1;
 
 /**
- * Shortest time between crashes that count separately for a request that has succeeded, in milliseconds: an outage may crash
- * several upstreams within that time.
+ * Shortest time between a crash and the start of the next attempt that counts separately, in milliseconds, for a request that
+ * has succeeded: an outage may crash several upstreams within that time.
  */
 const outageMs = 1000;
 
 /** Returns the records that may be evidence: those whose path has enough records. */
-const selectContested = (records: readonly CrashRecord[]): readonly CrashRecord[] => {
+const selectPossibleEvidence = (records: readonly CrashRecord[]): readonly CrashRecord[] => {
     const counts = new Map<string, number>();
     records.forEach(({ key }) => counts.set(pathPartOf(key), (counts.get(pathPartOf(key)) ?? 0) + 1));
     return records.filter(({ key }) => (counts.get(pathPartOf(key)) ?? 0) >= crashThreshold);
@@ -58,7 +58,7 @@
 
 const hasSucceededWith = (record: CrashRecord, mask: AttributeMask): boolean => (record.succeededMasks >> mask & 1) === 1;
 
-/** Selects the records that count: of records that overlap only one, because one outage may crash many upstreams at once. */
+/** Selects the records that count: one of those that overlap, because one outage may crash many upstreams at once. */
 const selectConsecutive = (records: readonly CrashRecord[]): readonly CrashRecord[] => {
     const minimumGapMs = records.some(record => hasSucceededWith(record, allAttributes)) ? outageMs : -resolutionMs;
     const counted: CrashRecord[] = [];
@@ -98,8 +98,8 @@
     records: readonly CrashRecord[],
     agreed: ReadonlySet<RequestSignature> = new Set(),
 ): ReadonlyMap<RequestSignature, readonly CrashRecord[]> => {
-    const contested = selectContested(records);
-    const candidates = attributeMasks.flatMap(mask => candidatesFor(contested, mask))
+    const possibleEvidence = selectPossibleEvidence(records);
+    const candidates = attributeMasks.flatMap(mask => candidatesFor(possibleEvidence, mask))
         .sort((a, b) => b.count - a.count || (a.signature < b.signature ? -1 : 1));
     const quarantined = new Map<RequestSignature, readonly CrashRecord[]>();
     const explained: CrashRecord[] = [];
--- a/packages/decision/src/quarantine-trial.ts
+++ b/packages/decision/src/quarantine-trial.ts
@@ -7,12 +7,13 @@
 import type { CrashRecord } from "./crash-record.js";
 
 /**
- * Time after which a quarantined request is tried, in milliseconds: by then an outage that caused the crashes is usually over.
+ * Time after which a quarantined request is tried, in milliseconds: by then an outage that may have caused the crashes is
+ * usually over.
  */
 const trialDelayMs = 30_000;
 
-/** A crash later than this share of that time after the evidence came from a trial, not from a retry in flight. */
-const trialShare = 0.9;
+/** Share of that time after which a further crash counts as a failed trial, and not as a retry that was in flight. */
+const failedTrialShare = 0.9;
 
 /**
  * Whether a quarantined request may be tried: no upstream has crashed while processing it for some time, and no trial has
@@ -26,6 +27,6 @@
     const evidenceAtMs = evidence.at(-1)?.endedAtMs;
     const lastAtMs = Math.max(...matching.map(({ endedAtMs }) => endedAtMs));
     return evidenceAtMs !== undefined
-        && lastAtMs - evidenceAtMs < trialDelayMs * trialShare
+        && lastAtMs - evidenceAtMs < trialDelayMs * failedTrialShare
         && nowMs - lastAtMs >= trialDelayMs;
 };
--- a/packages/decision/src/record-notice.ts
+++ b/packages/decision/src/record-notice.ts
@@ -40,7 +40,7 @@
         return storeNotice(stores, incarnation, observation);
     }
     const { upstream, estimate } = tracked;
-    // A notice about an unidentified incarnation from before this one was added is about an earlier one.
+    // A notice from before this incarnation was added is considered to be about an earlier one.
     return observation.atMs >= estimate.createdAtMs
         && storeNotice(stores, { ...upstream, startedAtMs: Math.max(startedAtMs, upstream.startedAtMs ?? 0) }, observation);
 };
--- a/packages/decision/src/service-load-model.ts
+++ b/packages/decision/src/service-load-model.ts
@@ -55,18 +55,18 @@
 }
 
 /**
- * Weight of a new sample in the mean load and residence time: the last twenty or so count, so that a burst shows within a
- * second.
+ * Weight of a new sample in the mean load and residence time: about the last twenty samples count, so that a burst shows
+ * within a second.
  */
 const sampleAlpha = 0.05;
 
-/** Weight of a new sample in the mean slowdown: about a hundred count, so that it does not follow single upstreams. */
+/** Weight of a new sample in the mean slowdown: about the last hundred count, so that it does not follow single upstreams. */
 const slowdownAlpha = 0.01;
 
 /** Mean slowdown before the first report. Above 1, so that an upstream with a good report is preferred to one without any. */
 const priorSlowdown = 1.8;
 
-/** Assumed time for which a slowdown lasts before a change was observed, in milliseconds. */
+/** Assumed time for which a slowdown lasts, in milliseconds, until changes were observed. */
 const priorSlowdownDecayMs = 150;
 
 /** Weight of that prior, as a squared distance from the mean: a few changes outweigh it. */
--- a/packages/decision/src/track-upstream.ts
+++ b/packages/decision/src/track-upstream.ts
@@ -12,7 +12,7 @@
 export interface TrackUpstreamOptions {
     readonly estimate: EstimateOptions;
     readonly nowMs: number;
-    /** Whether the service had no upstreams before; upstreams that state no cold time are then not cold. */
+    /** Whether the service had no upstreams before; upstreams without a cold time are then not cold. */
     readonly isFirst: boolean;
     /** Notices of upstreams about themselves, also from before their entries lapsed. */
     readonly notices: UpstreamNotices;
@@ -23,7 +23,7 @@
  *
  * @param upstream - The entry.
  * @param previous - The upstream with the same id that was tracked before; `undefined` for a new one.
- * @param options - Parameters of its estimate.
+ * @param options - Parameters of its estimate, the time and the stored notices.
  */
 export const trackUpstream = (
     upstream: UpstreamEntry,
@@ -48,7 +48,7 @@
     return isCold ? applyObservation(initial, { type: "returned", atMs: nowMs, coldMs }, estimate, () => false) : initial;
 };
 
-/** The estimate of an upstream that stays, after it may have been listed again. */
+/** Returns the estimate of an incarnation that was tracked before; it becomes cold if its changed entry has a cold time. */
 const updateFromListing = (
     { upstream: previousEntry, estimate }: TrackedUpstream,
     upstream: UpstreamEntry,
--- a/packages/decision/src/upstream-backoff.ts
+++ b/packages/decision/src/upstream-backoff.ts
@@ -1,5 +1,5 @@
 /**
- * Handling of a request while all upstreams of its service requested a backoff, or their rate limits permit nothing now.
+ * Wait and retry times while all upstreams of a service back off, or their rate limits permit nothing now.
  *
  * @packageDocumentation
  */
@@ -22,7 +22,7 @@
  * Returns the time until the first upstream accepts a request of this instance, if all of them back off or are limited.
  *
  * @param upstreams - The upstreams.
- * @returns Milliseconds; `undefined` if some accept requests now, or there are none.
+ * @returns Milliseconds; `undefined` if some accept requests now, or all are draining or ejected.
  */
 export const earliestAvailableMs = (upstreams: readonly UpstreamWait[]): number | undefined => {
     const notDraining = upstreams.filter(({ state }) => state !== "draining");
@@ -37,7 +37,7 @@
 /** Returns the time until an upstream accepts a request of this instance, in milliseconds. */
 const waitForMs = ({ restMs: backoffMs, shareInMs }: UpstreamWait): number => Math.max(backoffMs, shareInMs);
 
-/** Whether rate limits apply, and not only backoffs of all upstreams. */
+/** Whether the rate limit of an upstream that does not back off permits nothing now. */
 export const isLimited = (upstreams: readonly UpstreamWait[]): boolean =>
     upstreams.some(({ state, restMs: backoffMs, shareInMs }) => state !== "draining" && backoffMs <= 0 && shareInMs > 0);
 
@@ -49,8 +49,8 @@
  * @param upstreams - The upstreams.
  */
 export const queueWaitMs = (waitMs: number, ahead: number, upstreams: readonly UpstreamFacts[]): number => {
-    const perMs = upstreams.reduce((sum, { shareGapMs }) => sum + (shareGapMs > 0 ? 1 / shareGapMs : 0), 0);
-    return perMs === 0 ? waitMs : waitMs + ahead / perMs;
+    const permitsPerMs = upstreams.reduce((sum, { shareGapMs }) => sum + (shareGapMs > 0 ? 1 / shareGapMs : 0), 0);
+    return permitsPerMs === 0 ? waitMs : waitMs + ahead / permitsPerMs;
 };
 
 /**
--- a/packages/decision/src/upstream-estimate.ts
+++ b/packages/decision/src/upstream-estimate.ts
@@ -27,7 +27,7 @@
     readonly maximumLimit: number;
 }
 
-/** Options that suit upstreams with a few slots. */
+/** Defaults, which suit upstreams with a few slots. */
 export const estimateDefaults: EstimateOptions = {
     latencyAlpha: 0.2,
     failureAlpha: 0.1,
@@ -213,9 +213,9 @@
     const failureRate = estimate.failureRate + options.failureAlpha * (1 - estimate.failureRate);
     const consecutiveFailures = estimate.consecutiveFailures + 1;
     const next = { ...estimate, failureRate, consecutiveFailures };
-    const tooMany = consecutiveFailures >= options.ejectAfterFailures || failureRate > options.ejectFailureRate;
+    const failsTooOften = consecutiveFailures >= options.ejectAfterFailures || failureRate > options.ejectFailureRate;
     const isSuspect = estimate.state === "suspect";
-    if (!(tooMany || isSuspect) || estimate.state === "ejected" || estimate.state === "draining") {
+    if (!(failsTooOften || isSuspect) || estimate.state === "ejected" || estimate.state === "draining") {
         return next;
     }
     if (!mayEject()) {
--- a/packages/decision/src/upstream-limits.ts
+++ b/packages/decision/src/upstream-limits.ts
@@ -76,7 +76,7 @@
  */
 const confirmIntervalMs = 8000;
 
-/** Relative change of a limit that can wait for the next exchange. */
+/** Largest relative change of a limit that is not sent at once, but with the next exchange. */
 const slightChange = 0.1;
 
 /** Stores the last rate limit that each upstream announced. */
@@ -151,7 +151,7 @@
             .filter(({ storedAtMs, isChange }) => !isDelta || isChange && nowMs - storedAtMs < deltaGossipMs)
             .sort((a, b) => b.storedAtMs - a.storedAtMs)
             .slice(0, maximumNoticesSent)
-            .map(({ notice: upstreamNotice }) => upstreamNotice);
+            .map(({ notice }) => notice);
     }
 
     /** Records that a limit still applies, and sends that to the other instances at intervals. */
--- a/packages/decision/src/upstream-notices.ts
+++ b/packages/decision/src/upstream-notices.ts
@@ -20,7 +20,7 @@
 
 const noNotices: StoredNotices = { isDraining: false, backoffUntilMs: 0 };
 
-/** Stores the notices of each upstream until another incarnation of it is known. */
+/** Stores the notices of each upstream until a later incarnation of it is known. */
 export class UpstreamNotices {
     private readonly notices: IncarnationMap<StoredNotices>;
 
@@ -60,7 +60,7 @@
         }));
     }
 
-    /** Returns the milliseconds until the backoff of an incarnation ends; 0 when it accepts requests. */
+    /** Returns the milliseconds until the backoff of an incarnation ends; 0 without one. */
     remainingBackoffMs(incarnation: UpstreamIncarnation): number {
         return Math.max(0, (this.notices.find(incarnation)?.backoffUntilMs ?? 0) - this.options.clock.nowMs());
     }
--- a/packages/decision/src/upstream-tracker.ts
+++ b/packages/decision/src/upstream-tracker.ts
@@ -20,8 +20,14 @@
     updateFromResponse,
 } from "./service-load-model.js";
 import { trackUpstream } from "./track-upstream.js";
-import { lastReportOf, mayEject, toFacts } from "./tracked-upstream.js";
-import type { InFlightRequest, TrackedUpstream, UpstreamEntry } from "./tracked-upstream.js";
+import {
+    type InFlightRequest,
+    lastReportOf,
+    mayEject,
+    toFacts,
+    type TrackedUpstream,
+    type UpstreamEntry,
+} from "./tracked-upstream.js";
 import type { UpstreamWait } from "./upstream-backoff.js";
 import { applyObservation, atTime, estimateDefaults, type EstimateOptions, type UpstreamEstimate } from "./upstream-estimate.js";
 import { type UpstreamTrackerOptions, withDefaults } from "./upstream-tracker-options.js";
@@ -100,7 +106,7 @@
         if (tracked === undefined || !appliesTo(this.options, tracked, observation, startedAtMs)) {
             return;
         }
-        // The ejection may have expired in the meantime; the observation then belongs to the state `suspect`.
+        // The ejection may have ended in the meantime; the observation then applies to the state `suspect`.
         const estimate = atTime(tracked.estimate, this.options.clock.nowMs());
         const next = applyObservation(
             estimate,
@@ -134,12 +140,7 @@
         return [...this.tracked.values()].map(tracked => this.factsNow(tracked, isExploration));
     }
 
-    /**
-     * Returns the facts of some upstreams, as {@link facts} does for all; unknown ids are omitted.
-     *
-     * @param ids - The upstreams.
-     * @param isExploration - As for {@link facts}.
-     */
+    /** Returns the facts of some upstreams, as {@link facts} does for all; unknown ids are omitted. */
     factsOf(ids: readonly UpstreamId[], isExploration = false): readonly UpstreamFacts[] {
         return ids.flatMap(id => this.tracked.get(id) ?? []).map(tracked => this.factsNow(tracked, isExploration));
     }
@@ -160,7 +161,6 @@
         });
     }
 
-    /** The upstreams. */
     get upstreams(): readonly UpstreamEntry[] {
         return [...this.tracked.values()].map(tracked => tracked.upstream);
     }
@@ -187,7 +187,7 @@
         return this.admission.accepts(tracked, upstream) && this.admission.maySend(tracked, request);
     }
 
-    /** How long each upstream accepts nothing from this instance, with its state. */
+    /** How long each upstream accepts no requests of this instance, with its state. */
     get upstreamWaits(): readonly UpstreamWait[] {
         return [...this.tracked.values()].map(tracked => this.admission.waitOf(tracked));
     }
@@ -212,7 +212,6 @@
         return [...this.tracked.values()].reduce((sum, tracked) => sum + tracked.inFlightRequests.size, 0);
     }
 
-    /** Number of upstreams. */
     get size(): number {
         return this.tracked.size;
     }
--- a/packages/decision/test/cold-admission.test.ts
+++ b/packages/decision/test/cold-admission.test.ts
@@ -47,7 +47,7 @@
     ...change,
 });
 
-const open = (mayAdmit = true) => {
+const setUp = (mayAdmit = true) => {
     const clock = new FakeClock();
     let sent = 0;
     const coldAdmission = { mayAdmit: () => mayAdmit, recordSent: () => void (sent += 1) };
@@ -61,7 +61,7 @@
 
 describe("an upstream that becomes cold without a restart", () => {
     test("is cold for the time in its directory entry, and receives only admitted requests", async () => {
-        const { clock, configure, facts } = open(false);
+        const { clock, configure, facts } = setUp(false);
         configure({ coldMs: 3000 });
         assert.deepEqual([facts().state, facts().limit], ["cold", 0]);
         await clock.advance(3000);
@@ -70,13 +70,13 @@
     });
 
     test("is cold after its own notice", () => {
-        const { tracker, facts } = open();
+        const { tracker, facts } = setUp();
         tracker.observe(upstreamId("u1"), { type: "cooled", atMs: 0, coldMs: 500 }, 100);
         assert.equal(facts().state, "cold");
     });
 
     test("does not stay cold for longer when the same entry is applied again", async () => {
-        const { clock, tracker, facts } = open();
+        const { clock, tracker, facts } = setUp();
         const entry = upstream({ coldMs: 1000 });
         const service = { upstreams: [], maximumConnections: 100, coldRequestsPerSecond: 2.5 };
         tracker.configure(service, 10, [entry]);
@@ -98,7 +98,7 @@
     });
 
     test("counts the requests that are sent to it", () => {
-        const { tracker, configure, sent } = open();
+        const { tracker, configure, sent } = setUp();
         configure({ coldMs: 1000 });
         tracker.startRequest(upstreamId("u1"));
         assert.equal(sent(), 1);
@@ -107,7 +107,7 @@
 
 interface Case {
     readonly name: string;
-    readonly act: (parts: ReturnType<typeof open>) => void;
+    readonly act: (parts: ReturnType<typeof setUp>) => void;
     readonly state: string;
     readonly inFlight?: number;
     readonly reported?: number;
@@ -178,7 +178,7 @@
 describe("a new incarnation with the id of a previous one", () => {
     cases.forEach(({ name, act, state, inFlight = 0, reported = -1 }) => {
         test(name, () => {
-            const parts = open();
+            const parts = setUp();
             act(parts);
             const facts = parts.facts();
             assert.deepEqual([facts.state, facts.inFlight, facts.reportedInFlight], [state, inFlight, reported]);
@@ -186,12 +186,12 @@
     });
 });
 
-/** Returns the most requests that one cold upstream receives in any second from many instances that all have requests for it. */
-const mostInASecond = async (views: readonly number[]): Promise<number> => {
+/** Returns the most requests that one cold upstream receives in any second from the participants of separate parts of a fleet. */
+const mostInASecond = async (partSizes: readonly number[]): Promise<number> => {
     const clock = new FakeClock();
     const random = new SeededRandom(9);
     // Each part of the fleet has its own three participants.
-    const participants = views.flatMap(size =>
+    const participants = partSizes.flatMap(size =>
         Array.from({ length: size }, () => new SharedColdAdmission({ clock, participantsOf: () => 3 }))
     );
     const arrivals: number[] = [];
--- a/packages/decision/test/crash-history.test.ts
+++ b/packages/decision/test/crash-history.test.ts
@@ -11,7 +11,7 @@
 
 /** Returns a key with readable parts. */
 const keyOf = (path: string, caller = "c", query = "q", body = "b"): RequestKey =>
-    requestKey(path.padEnd(16, "_") + [caller, query, body].map(trait => trait.padEnd(8, "_")).join(""));
+    requestKey(path.padEnd(16, "_") + [caller, query, body].map(attribute => attribute.padEnd(8, "_")).join(""));
 
 const bad = keyOf("bad");
 const popular = keyOf("popular");
@@ -108,9 +108,9 @@
     const after = (index: number): number => 100 * (index + 1);
 
     test("are quarantined by what they have in common: different callers", () => {
-        const recordsOf = upstreams.map((upstream, index) => crashed(keyOf("bad", `c${index}`), upstream, after(index)));
+        const records = upstreams.map((upstream, index) => crashed(keyOf("bad", `c${index}`), upstream, after(index)));
         const history = new CrashHistory({ clock: new FakeClock() });
-        history.merge(recordsOf);
+        history.merge(records);
         assert.equal(history.isQuarantined(keyOf("bad", "c9")), true);
         assert.equal(history.isQuarantined(keyOf("bad", "c9", "q", "other")), false);
         assert.equal(history.isQuarantined(keyOf("bad", "c9", "other")), false);
@@ -118,11 +118,11 @@
     });
 
     test("are quarantined by what they have in common: different callers and queries", () => {
-        const recordsOf = upstreams.map((upstream, index) =>
+        const records = upstreams.map((upstream, index) =>
             crashed(keyOf("bad", `c${index}`, `q${index}`), upstream, after(index))
         );
         const history = new CrashHistory({ clock: new FakeClock() });
-        history.merge(recordsOf);
+        history.merge(records);
         assert.equal(history.isQuarantined(keyOf("bad", "c9", "q9")), true);
         assert.equal(history.isQuarantined(keyOf("bad", "c9", "q9", "other")), false);
     });
@@ -170,11 +170,11 @@
                 ...records.slice(0, 5),
             ];
             const random = new SeededRandom(seed);
-            const shuffled = deliveries.map(record => ({ fact: record, at: random.next() })).sort((a, b) => a.at - b.at);
+            const shuffled = deliveries.map(record => ({ record, order: random.next() })).sort((a, b) => a.order - b.order);
             const clock = new FakeClock();
             const [inOrder, mixed] = [new CrashHistory({ clock }), new CrashHistory({ clock })];
             inOrder.merge(records);
-            shuffled.forEach(({ fact: record }) => mixed.merge([record]));
+            shuffled.forEach(({ record }) => mixed.merge([record]));
             assert.deepEqual([...mixed.quarantined].sort(), [...inOrder.quarantined].sort());
             assert.equal(mixed.size, inOrder.size);
             assert.equal(mixed.merge(records), false);
@@ -189,9 +189,9 @@
         flood.forEach(record => history.merge([record]));
         assert.equal(history.size, 512);
         assert.equal(history.isQuarantined(bad), true);
-        const peer = history.recentEntries([], false);
-        assert.equal(peer.length, 64);
-        assert.deepEqual(peer.slice(0, 3).map(({ key }) => key), [bad, bad, bad]);
+        const sent = history.recentEntries([], false);
+        assert.equal(sent.length, 64);
+        assert.deepEqual(sent.slice(0, 3).map(({ key }) => key), [bad, bad, bad]);
     });
 
     test("sends only recent changes to a peer with the same quarantines", async () => {
--- a/packages/decision/test/decide.test.ts
+++ b/packages/decision/test/decide.test.ts
@@ -111,11 +111,11 @@
                 const given = input(upstreams, { draws: drawNumbers(new SeededRandom(seed)), sequence: Math.abs(seed) });
                 const [first, second] = [decide(policy(chooser), given), decide(policy(chooser), given)];
                 assert.deepEqual(first, second);
-                const free = upstreams.filter(each =>
+                const available = upstreams.filter(each =>
                     each.state !== "ejected" && each.state !== "draining" && each.inFlight < each.limit
                 );
-                assert.equal(first.action === "choose", free.length > 0);
-                assert.ok(first.action !== "choose" || free.some(each => each.id === first.upstream));
+                assert.equal(first.action === "choose", available.length > 0);
+                assert.ok(first.action !== "choose" || available.some(each => each.id === first.upstream));
             },
         ),
         { seed: 11, numRuns: 500 },
--- a/packages/decision/test/limit-admission.test.ts
+++ b/packages/decision/test/limit-admission.test.ts
@@ -7,7 +7,7 @@
 
 const incarnation = { id: upstreamId("u1"), startedAtMs: 100 };
 
-const open = (share: (wanted: number) => LimitShare, random: RandomSource = new SeededRandom(1)) => {
+const setUp = (share: (wanted: number) => LimitShare, random: RandomSource = new SeededRandom(1)) => {
     const clock = new FakeClock();
     const limits = new UpstreamLimits({ clock, instance: "a" });
     const admission = new LimitAdmission({ clock, random, limits, shareOf: (_, wanted) => share(wanted) });
@@ -22,23 +22,23 @@
 
 describe("a participant of a rate limit", () => {
     test("has one permit per period, usable at any time in it, and accumulates none", async () => {
-        const { clock, limits, admission } = open(participant(13), { next: () => 0 });
+        const { clock, limits, admission } = setUp(participant(13), { next: () => 0 });
         limits.record(incarnation, 2, 0);
-        const waits = async (forMs: number): Promise<number | undefined> => {
+        const waitAfter = async (forMs: number): Promise<number | undefined> => {
             await clock.advance(forMs);
             return admission.paceOf(incarnation)?.waitMs;
         };
-        assert.equal(await waits(0), 0);
-        assert.equal(await waits(9900), 0);
+        assert.equal(await waitAfter(0), 0);
+        assert.equal(await waitAfter(9900), 0);
         admission.recordSent(incarnation);
-        assert.equal(Math.round(await waits(0) ?? 0), 100);
-        assert.equal(await waits(101), 0);
+        assert.equal(Math.round(await waitAfter(0) ?? 0), 100);
+        assert.equal(await waitAfter(101), 0);
         admission.recordSent(incarnation);
-        assert.equal(Math.round(await waits(0) ?? 0), 2499);
+        assert.equal(Math.round(await waitAfter(0) ?? 0), 2499);
     });
 
     test("accumulates permits for a short time if few participants share a large limit", async () => {
-        const { clock, limits, admission } = open(participant(3), { next: () => 0 });
+        const { clock, limits, admission } = setUp(participant(3), { next: () => 0 });
         limits.record(incarnation, 60, 0);
         assert.ok((admission.paceOf(incarnation)?.waitMs ?? 0) > 0);
         await clock.advance(10_000);
@@ -50,7 +50,7 @@
     });
 
     test("gains no permit from a limit that changes all the time", async () => {
-        const { clock, limits, admission } = open(participant(13), { next: () => 0 });
+        const { clock, limits, admission } = setUp(participant(13), { next: () => 0 });
         let sent = 0;
         for (let passedMs = 0; passedMs < 20_000; passedMs += 20) {
             await clock.advance(20);
@@ -64,7 +64,7 @@
     });
 
     test("reports how long it has to wait, and how fast it may send", () => {
-        const { limits, admission } = open(participant(13), { next: () => 0.25 });
+        const { limits, admission } = setUp(participant(13), { next: () => 0.25 });
         limits.record(incarnation, 3.6, 0);
         const pace = admission.paceOf(incarnation);
         assert.deepEqual([pace?.perSecond, pace?.participants, Math.round(pace?.gapMs ?? 0), Math.round(pace?.waitMs ?? 0)], [
@@ -76,7 +76,7 @@
     });
 
     test("has no limit once the upstream announces none", async () => {
-        const { clock, limits, admission } = open(participant(13));
+        const { clock, limits, admission } = setUp(participant(13));
         limits.record(incarnation, 0, 0);
         assert.ok((admission.paceOf(incarnation)?.waitMs ?? 0) > 0);
         await clock.advance(1);
@@ -87,7 +87,7 @@
 });
 
 test("a non-participant sends few probing requests, after half a minute without a notice", async () => {
-    const { clock, limits, admission } = open(wanted => ({ isParticipant: false, participants: wanted, members: 13 }));
+    const { clock, limits, admission } = setUp(wanted => ({ isParticipant: false, participants: wanted, members: 13 }));
     limits.record(incarnation, 4, 0);
     await clock.advance(29_999);
     assert.ok((admission.paceOf(incarnation)?.waitMs ?? 0) > 0);
@@ -112,8 +112,8 @@
                 const clock = new FakeClock();
                 const limits = new UpstreamLimits({ clock, instance: "a" });
                 limits.record(incarnation, perSecond, 0);
-                const most = Math.max(2, Math.floor(2 * Math.max(0.1, perSecond)) + 1);
-                const admissions = Array.from({ length: Math.min(most, members) }, () =>
+                const participantCount = Math.max(2, Math.floor(2 * Math.max(0.1, perSecond)) + 1);
+                const admissions = Array.from({ length: Math.min(participantCount, members) }, () =>
                     new LimitAdmission({ clock, random, limits, shareOf: (_, wanted) => participant(members)(wanted) }));
                 admissions.forEach(admission =>
                     admission.paceOf(incarnation)
--- a/packages/decision/test/sample-candidates.test.ts
+++ b/packages/decision/test/sample-candidates.test.ts
@@ -14,7 +14,7 @@
     reportAgeMs,
 });
 
-const draws = () => {
+const createDraw = () => {
     const random = new SeededRandom(1);
     return () => random.next();
 };
@@ -22,21 +22,21 @@
 describe("the upstreams that a decision evaluates", () => {
     test("are all if there are few", () => {
         const candidates = Array.from({ length: maximumCandidates }, (_, index) => candidate(index, Infinity));
-        assert.deepEqual(sampleCandidates(candidates, draws()), candidates.map(({ id }) => id));
+        assert.deepEqual(sampleCandidates(candidates, createDraw()), candidates.map(({ id }) => id));
     });
 
     test("are recently reported ones, and ones of the same and of other availability zones, each once", () => {
         const many = Array.from({ length: 156 }, (_, index) => candidate(index, index < 40 ? 100 : Infinity));
-        const ids = sampleCandidates(many, draws());
+        const ids = sampleCandidates(many, createDraw());
         assert.equal(new Set(ids).size, maximumCandidates);
-        const picked = many.filter(({ id }) => ids.includes(id));
-        assert.equal(picked.filter(({ reportAgeMs }) => reportAgeMs === 100).length, maximumCandidates / 2);
-        assert.equal(picked.filter(({ reportAgeMs, sameZone }) => reportAgeMs > 100 && sameZone).length, maximumCandidates / 4);
+        const sampled = many.filter(({ id }) => ids.includes(id));
+        assert.equal(sampled.filter(({ reportAgeMs }) => reportAgeMs === 100).length, maximumCandidates / 2);
+        assert.equal(sampled.filter(({ reportAgeMs, sameZone }) => reportAgeMs > 100 && sameZone).length, maximumCandidates / 4);
     });
 
     test("are sampled for each decision, so that each upstream is included at some time", () => {
         const many = Array.from({ length: 156 }, (_, index) => candidate(index, Infinity));
-        const draw = draws();
+        const draw = createDraw();
         const seen = new Set(Array.from({ length: 100 }, () => sampleCandidates(many, draw)).flat());
         assert.equal(seen.size, many.length);
     });
@@ -62,7 +62,7 @@
         const draining = ids.slice(0, 60);
         const tried = ids.slice(60, 70);
         draining.forEach(id => tracker.observe(id, { type: "draining", atMs: 1 }));
-        const selected = tracker.selectCandidates(tried, draws());
+        const selected = tracker.selectCandidates(tried, createDraw());
         assert.equal(selected.length, maximumCandidates);
         assert.ok(selected.every(id => !draining.includes(id) && !tried.includes(id)));
     });
@@ -70,6 +70,6 @@
     test("all if hardly any are eligible, so that a refusal gives the reasons", () => {
         const { tracker, ids } = start();
         ids.slice(0, 95).forEach(id => tracker.observe(id, { type: "draining", atMs: 1 }));
-        assert.deepEqual(tracker.selectCandidates([], draws()), ids);
+        assert.deepEqual(tracker.selectCandidates([], createDraw()), ids);
     });
 });
--- a/packages/decision/test/service-load-model.test.ts
+++ b/packages/decision/test/service-load-model.test.ts
@@ -65,15 +65,15 @@
 });
 
 describe("the decay time of a slowdown", () => {
-    /** Returns the decay time after reports of ten upstreams every 20 ms, whose slowdown changes at random at a fixed interval. */
-    const decayMs = (drawnEveryMs: number): number => {
+    /** Returns the decay time after reports of ten upstreams every 20 ms, whose slowdowns change at random at a fixed interval. */
+    const decayMs = (changeIntervalMs: number): number => {
         const random = new SeededRandom(7);
         const last: (ReportedLoad | undefined)[] = Array.from({ length: 10 }, () => undefined);
         let model = initialLoadModel;
         for (let atMs = 0; atMs < 20_000; atMs += 20) {
             last.forEach((previous, upstream) => {
-                const isDrawn = previous === undefined || (atMs + 20 * upstream) % drawnEveryMs === 0;
-                const sample = report({ atMs, slowdown: isDrawn ? random.next() < 0.3 ? 5 : 1 : previous.slowdown });
+                const isChanged = previous === undefined || (atMs + 20 * upstream) % changeIntervalMs === 0;
+                const sample = report({ atMs, slowdown: isChanged ? random.next() < 0.3 ? 5 : 1 : previous.slowdown });
                 model = updateFromReport(model, sample, previous);
                 last[upstream] = sample;
             });
--- a/packages/decision/test/upstream-backoff.test.ts
+++ b/packages/decision/test/upstream-backoff.test.ts
@@ -10,39 +10,39 @@
 import { upstream } from "./upstream.js";
 
 describe("the time until the first upstream is available is", () => {
-    const resting = (restMs: number) => upstream("a", { restMs });
+    const backingOff = (backoffMs: number) => upstream("a", { restMs: backoffMs });
     const limited = (shareInMs: number) => upstream("b", { takesPerSecond: 1, shareInMs, shareGapMs: 2000 });
     const cases = [
-        { name: "none without upstreams", upstreams: [], restMs: undefined },
-        { name: "none if one accepts requests", upstreams: [resting(500), upstream("b")], restMs: undefined },
-        { name: "none if all are draining", upstreams: [upstream("a", { state: "draining", restMs: 500 })], restMs: undefined },
-        { name: "none if all are ejected", upstreams: [upstream("a", { state: "ejected" })], restMs: undefined },
-        { name: "the shortest", upstreams: [resting(500), resting(300), resting(900)], restMs: 300 },
-        { name: "that for a permit, if it is shorter", upstreams: [resting(500), limited(200)], restMs: 200 },
+        { name: "none without upstreams", upstreams: [], waitMs: undefined },
+        { name: "none if one accepts requests", upstreams: [backingOff(500), upstream("b")], waitMs: undefined },
+        { name: "none if all are draining", upstreams: [upstream("a", { state: "draining", restMs: 500 })], waitMs: undefined },
+        { name: "none if all are ejected", upstreams: [upstream("a", { state: "ejected" })], waitMs: undefined },
+        { name: "the shortest", upstreams: [backingOff(500), backingOff(300), backingOff(900)], waitMs: 300 },
+        { name: "that for a permit, if it is shorter", upstreams: [backingOff(500), limited(200)], waitMs: 200 },
         {
             name: "the longer of backoff and permit wait of one upstream",
             upstreams: [upstream("a", { restMs: 300, shareInMs: 700 })],
-            restMs: 700,
+            waitMs: 700,
         },
         {
             name: "that of the upstreams that are not draining",
-            upstreams: [resting(500), upstream("b", { state: "draining" })],
-            restMs: 500,
+            upstreams: [backingOff(500), upstream("b", { state: "draining" })],
+            waitMs: 500,
         },
         {
             name: "bounded if one is ejected",
-            upstreams: [resting(60_000), upstream("b", { state: "ejected" })],
-            restMs: 1000,
+            upstreams: [backingOff(60_000), upstream("b", { state: "ejected" })],
+            waitMs: 1000,
         },
     ] as const;
-    cases.forEach(({ name, upstreams, restMs }) => {
-        test(name, () => assert.equal(earliestAvailableMs(upstreams), restMs));
+    cases.forEach(({ name, upstreams, waitMs }) => {
+        test(name, () => assert.equal(earliestAvailableMs(upstreams), waitMs));
     });
 });
 
 describe("while all upstreams back off a request", () => {
-    const decideBy = (restMs: number, holdLeftMs: number, draw = 0) => {
-        const upstreams = [upstream("a", { restMs }), upstream("b", { restMs: restMs + 100 })];
+    const decideBy = (backoffMs: number, holdLeftMs: number, draw = 0) => {
+        const upstreams = [upstream("a", { restMs: backoffMs }), upstream("b", { restMs: backoffMs + 100 })];
         const given = input(upstreams, { draws: [draw, 0, 0, 0] });
         return decide(policy("expected-time"), { ...given, request: { ...given.request, holdLeftMs } });
     };
--- a/packages/decision/test/upstream-limits.test.ts
+++ b/packages/decision/test/upstream-limits.test.ts
@@ -8,7 +8,7 @@
 const id = upstreamId("u1");
 const incarnation = { id, startedAtMs: 100 };
 
-const open = (clock = new FakeClock(), instance = "a") => {
+const setUp = (clock = new FakeClock(), instance = "a") => {
     const changes: LimitChange[] = [];
     const limits = new UpstreamLimits({ clock, instance, onChange: change => changes.push(change) });
     return { clock, limits, changes, perSecond: () => limits.find(incarnation)?.perSecond };
@@ -16,7 +16,7 @@
 
 describe("an announced rate limit", () => {
     test("applies until another one is announced, and ends with a response without it", async () => {
-        const { clock, limits, changes, perSecond } = open();
+        const { clock, limits, changes, perSecond } = setUp();
         assert.equal(limits.record(incarnation, undefined, 0), false);
         assert.equal(limits.record(incarnation, 3.6, 0), true);
         await clock.advance(600_000);
@@ -32,7 +32,7 @@
     });
 
     test("is neither raised nor ended by a response to a request from before it was received", async () => {
-        const { clock, limits, perSecond } = open();
+        const { clock, limits, perSecond } = setUp();
         await clock.advance(100);
         limits.record(incarnation, 4, 50);
         limits.record(incarnation, undefined, 60);
@@ -43,7 +43,7 @@
     });
 
     test("can rise although other requests are always in flight", async () => {
-        const { clock, limits, perSecond } = open();
+        const { clock, limits, perSecond } = setUp();
         limits.record(incarnation, 100, 0);
         for (let passedMs = 10; passedMs <= 200; passedMs += 10) {
             await clock.advance(10);
@@ -53,14 +53,14 @@
     });
 
     test("does not apply to another incarnation, and applies to the same one whose entry lapsed", () => {
-        const { limits } = open();
+        const { limits } = setUp();
         limits.record(incarnation, 1, 0);
         assert.equal(limits.find({ id, startedAtMs: 60_000 }), undefined);
         assert.equal(limits.find({ id, startedAtMs: 100 })?.perSecond, 1);
     });
 
     test("is sent to peers for as long as gossip takes, and is confirmed at intervals", async () => {
-        const { clock, limits } = open();
+        const { clock, limits } = setUp();
         limits.record(incarnation, 1, 0);
         assert.deepEqual([limits.recentEntries(true).length, limits.recentEntries(false).length], [1, 1]);
         await clock.advance(5000);
@@ -73,7 +73,7 @@
     });
 
     test("is sent at once unless it hardly changes", () => {
-        const { limits } = open();
+        const { limits } = setUp();
         assert.equal(limits.record(incarnation, 10, 0), true);
         assert.equal(limits.record(incarnation, 9.5, 0), false);
         assert.equal(limits.record(incarnation, 4, 0), true);
@@ -87,7 +87,7 @@
             const clock = new FakeClock();
             const notices: UpstreamLimitNotice[] = [];
             for (const name of ["a", "b", "c"]) {
-                const { limits } = open(clock, name);
+                const { limits } = setUp(clock, name);
                 for (let count = 0; count < 5; count += 1) {
                     await clock.advance(random.next() < 0.3 ? 0 : 10);
                     limits.record(incarnation, random.next() < 0.3 ? undefined : Math.ceil(5 * random.next()), clock.nowMs());
@@ -101,20 +101,20 @@
                         { notice },
                     ) => notice),
             );
-            const ends = orders.map(order => {
-                const { limits } = open(clock, "d");
+            const results = orders.map(order => {
+                const { limits } = setUp(clock, "d");
                 order.forEach(notice => limits.merge([notice]));
                 limits.merge(order.slice(0, 3));
                 const stored = limits.find(incarnation);
                 return [stored?.perSecond, stored?.saidAtUnixMs, stored?.heardBy];
             });
-            ends.forEach(end => assert.deepEqual(end, ends[0]));
+            results.forEach(end => assert.deepEqual(end, results[0]));
         });
     });
 
     test("are ordered by causality, although a clock is far behind", async () => {
-        const behind = open(new FakeClock(), "late");
-        const ahead = open(new FakeClock(), "ahead");
+        const behind = setUp(new FakeClock(), "late");
+        const ahead = setUp(new FakeClock(), "ahead");
         await ahead.clock.advance(1_000_000);
         ahead.limits.record(incarnation, 5, ahead.clock.nowMs());
         behind.limits.merge(ahead.limits.recentEntries(false));
--- a/packages/decision/test/upstream-notices.test.ts
+++ b/packages/decision/test/upstream-notices.test.ts
@@ -126,10 +126,10 @@
 });
 
 describe("a backoff", () => {
-    const backingOff = (restMs = 3000) => {
+    const backingOff = (backoffMs = 3000) => {
         const clock = new FakeClock();
         const notices = new UpstreamNotices({ clock });
-        notices.recordBackoff(incarnation(100_000), 200_000, restMs);
+        notices.recordBackoff(incarnation(100_000), 200_000, backoffMs);
         return { clock, notices };
     };
 
--- a/packages/decision/test/upstream-tracker.test.ts
+++ b/packages/decision/test/upstream-tracker.test.ts
@@ -177,7 +177,7 @@
     assert.deepEqual(Array.from({ length: 5 }, () => budget.tryWithdraw()).filter(Boolean).length, 3);
 });
 
-describe("a fuller upstream without samples", () => {
+describe("an upstream at its assumed optimal concurrency", () => {
     const load = { inFlight: 2, slots: 3, slowness: 1 };
     const u0 = upstreamId("u0");
 
@@ -200,7 +200,7 @@
         assert.equal(tracker.mayExplore, true);
     });
 
-    test("has a known contention after three samples", () => {
+    test("is known not to slow down after three samples", () => {
         const { tracker, clock } = start();
         const sample = { baselineMs: 100, latencyMs: 100, expectedSlowdown: 1, reportAgeMs: 1 };
         Array.from({ length: 10 }, () => tracker.recordResponse({ ...sample, atMs: clock.nowMs(), utilization: 0.3 }));
--- a/packages/policy/src/environment.ts
+++ b/packages/policy/src/environment.ts
@@ -1,6 +1,6 @@
 /**
- * The CEL environments for policies: checking uses typed objects, which detects unknown
- * fields; evaluation uses plain maps, which the library evaluates faster.
+ * The CEL environments for policies. Checking uses typed objects, in order to detect unknown fields; evaluation uses plain
+ * maps, which the library evaluates faster.
  *
  * @packageDocumentation
  */
--- a/packages/policy/src/request-facts.ts
+++ b/packages/policy/src/request-facts.ts
@@ -31,7 +31,7 @@
     /** Target latency of the request kind in milliseconds; 0 if none is configured. */
     readonly targetMs: number;
     /**
-     * Milliseconds until the target latency is exceeded, counted from the caller's first try as far as the deadline
+     * Milliseconds until the target latency is exceeded, counted from the caller's first attempt as far as the deadline
      * indicates it; negative if it is exceeded, 0 without a target.
      */
     readonly targetLeftMs: number;
--- a/packages/policy/src/upstream-facts.ts
+++ b/packages/policy/src/upstream-facts.ts
@@ -9,8 +9,8 @@
  *
  * - `ready`: receives requests.
  * - `cold`: receives requests, but has just started or recovered.
- * - `suspect`: failed recently; receives requests only if few other upstreams are available.
- * - `ejected`: failing; receives no requests until its recovery is tested.
+ * - `suspect`: failed recently; receives few requests until it has recovered.
+ * - `ejected`: failing; receives no requests until the ejection ends and it becomes `suspect`.
  * - `draining`: shutting down; receives no new requests.
  */
 export type UpstreamState = "ready" | "cold" | "suspect" | "ejected" | "draining";
@@ -25,13 +25,13 @@
     readonly state: UpstreamState;
     /** Requests in flight from this instance to the upstream. */
     readonly inFlight: number;
-    /** Maximum number of requests in flight from this instance to the upstream. */
+    /** Maximum number of requests in flight from this instance to the upstream; 0 while it may receive none. */
     readonly limit: number;
-    /** Milliseconds for which the upstream asked this instance to back off; 0 if it accepts requests. */
+    /** Milliseconds until the backoff that the upstream requested ends; 0 without one. */
     readonly restMs: number;
     /** Rate limit announced by the upstream, in requests per second from all instances together; -1 without a limit. */
     readonly takesPerSecond: number;
-    /** Milliseconds between two requests according to this instance's share of the rate limit; 0 without a limit. */
+    /** Milliseconds between two requests of this instance according to its share of the rate limit; 0 without a limit. */
     readonly shareGapMs: number;
     /** Milliseconds until this instance's share of the rate limit permits another request; 0 if it does now. */
     readonly shareInMs: number;
