--- a/packages/daemon/src/create-directory.ts
+++ b/packages/daemon/src/create-directory.ts
@@ -29,6 +29,6 @@
         read: (id, text) => parser.parseUpstream(id, text),
         onInvalid: (id, findings, revision) => {
             metrics.invalidEntries.inc();
-            log.write(events.listingInvalid, { upstream: id, revision, findings: findings.map(formatFinding) });
+            log.write(events.entryInvalid, { upstream: id, revision, findings: findings.map(formatFinding) });
         },
     });
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -74,7 +74,7 @@
 
     /** Starts listening, exchanging state with other instances and watching the platform. */
     async start(): Promise<DaemonPorts> {
-        // Callers may already be connecting, for example after a power failure, so their port opens first.
+        // The callers' port opens first, since callers may already be connecting.
         const callers = await this.callers.listen();
         this.platform.start();
         const ports = {
@@ -86,7 +86,7 @@
         const { platform, budgets } = this.settings;
         this.log.write(events.started, { version, ...ports, platform: platform.addresses, budgets });
         if (this.settings.operators.certificateFile === undefined) {
-            this.log.write(events.plainOperators, { address: this.settings.operators.address });
+            this.log.write(events.operatorsWithoutTls, { address: this.settings.operators.address });
         }
         await this.openTracing();
         this.stallDetector.start();
@@ -123,12 +123,12 @@
         this.callers.announceStop();
         void this.instance.fleet?.announceLeaving();
         await sleep(this.clock, stopDelayMs);
-        this.log.write(events.callersClosed, { inFlight: this.callers.inFlight });
+        this.log.write(events.callersPortClosed, { inFlight: this.callers.inFlight });
         const closed = new AbortController();
         const abortedRequests = await this.callers.close(sleep(this.clock, stopTimeoutMs, closed.signal));
         closed.abort();
         if (abortedRequests > 0) {
-            this.log.write(events.stopCutOff, { requests: abortedRequests });
+            this.log.write(events.stopAbortedRequests, { requests: abortedRequests });
         }
         this.stallDetector.stop();
         this.platform.stop();
--- a/packages/daemon/src/instance-times.ts
+++ b/packages/daemon/src/instance-times.ts
@@ -4,7 +4,7 @@
  * @packageDocumentation
  */
 
-/** Retry-After for requests that arrive before the first configuration, in milliseconds. */
+/** `Retry-After` for requests that arrive before the first configuration, in milliseconds. */
 export const notReadyRetryAfterMs = 1000;
 
 /** Stall after which state is refreshed before the next request is served, in milliseconds. */
--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -124,7 +124,7 @@
     async contactPeers(): Promise<void> {
         const hearTimeoutMs = this.parts.settings.peers?.hearTimeoutMs ?? 0;
         if (hearTimeoutMs > 0 && await this.fleet?.contactPeers(hearTimeoutMs) === false) {
-            this.parts.log.write(events.heardNobody, { hearTimeoutMs });
+            this.parts.log.write(events.noPeerAnswered, { hearTimeoutMs });
         }
         this.hasContactedPeers = true;
     }
--- a/packages/daemon/src/low-discrepancy-sequence.ts
+++ b/packages/daemon/src/low-discrepancy-sequence.ts
@@ -11,7 +11,7 @@
 
 /**
  * Generates a sequence of numbers in [0, 1) for each name. Every part of a sequence is evenly distributed, so weighted
- * shares hold even for few requests; random offsets keep instances from being synchronised.
+ * shares hold even for few requests; random offsets keep instances from being synchronized.
  */
 export class LowDiscrepancySequence {
     private readonly positions = new Map<string, number>();
--- a/packages/daemon/src/operators/explanation-store.ts
+++ b/packages/daemon/src/operators/explanation-store.ts
@@ -13,11 +13,11 @@
     readonly maximumBytes: number;
 }
 
-/** Estimated heap size of a decision step and of each of its candidates. */
+/** Estimated heap sizes of a decision step, without its candidates, and of a candidate. */
 const stepBytes = 540;
 const candidateBytes = 250;
 
-/** Estimated heap size of the rest of a record. */
+/** Estimated heap sizes of a record, without its steps and attempts, and of an attempt. */
 const recordBytes = 700;
 const attemptBytes = 250;
 
@@ -31,7 +31,7 @@
 /** Stores the newest records within limits on entries and bytes. */
 export class ExplanationStore {
     private readonly finished = new Map<RequestId, { readonly record: DecisionRecord; readonly bytes: number; }>();
-    /** Ring buffer of the ids of finished records; finding the oldest key of a map is slow after many deletions. */
+    /** Ring buffer of the IDs of finished records; finding the oldest key of a map is slow after many deletions. */
     private readonly order: RequestId[] = [];
     private oldest = 0;
     private readonly inFlight = new Map<RequestId, DecisionRecord>();
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Returns a record by its request's id. */
+    /** Returns a record by its request's ID. */
     find(id: RequestId): DecisionRecord | undefined {
         return this.inFlight.get(id) ?? this.finished.get(id)?.record;
     }
--- a/packages/daemon/src/operators/operator-service.ts
+++ b/packages/daemon/src/operators/operator-service.ts
@@ -77,7 +77,7 @@
     throw new ConnectError(`instance ${instance.id} has no record of ${id}`, Code.NotFound);
 };
 
-/** What remains available when the deciding instance has left the fleet. */
+/** What remains available when the deciding instance has no record or does not respond. */
 const remainingSources = "; what survives is the header x-harrierhitch-decision of the answer and the trace";
 
 const explainRemotely = async (options: OperatorServiceOptions, id: string): Promise<ExplainResponse> => {
--- a/packages/daemon/src/peers/instance-fleet.ts
+++ b/packages/daemon/src/peers/instance-fleet.ts
@@ -42,7 +42,7 @@
     onDirectory: () => instance.updateServices(),
     onSizeChange: () => instance.updateBudgets(),
     onDistributorLost: (distributor, error) =>
-        log.write(events.sourceLost, {
+        log.write(events.distributorLost, {
             source: distributor,
             ageMs: instance.fleet?.stalenessTracker.confirmedStalenessMs,
             error,
--- a/packages/daemon/src/peers/peer-joiner.ts
+++ b/packages/daemon/src/peers/peer-joiner.ts
@@ -15,7 +15,7 @@
     readonly settings: Settings;
 }
 
-/** Random extra share of the join delay, so that instances that start together do not overload the seeds. */
+/** Maximum random extension of the join delay, as a fraction; keeps instances that start together from overloading the seeds. */
 const joinJitter = 0.5;
 
 /** Opens the peers' endpoint if it is configured, at the start or after the join delay. */
--- a/packages/daemon/src/platform/http-platform.ts
+++ b/packages/daemon/src/platform/http-platform.ts
@@ -24,7 +24,7 @@
     async read(signal: AbortSignal): Promise<Publication> {
         this.options.onCall("read");
         const result = await this.get({}, this.options.readTimeoutMs, signal);
-        if (result.status === notModified) {
+        if (result.status === notModifiedStatus) {
             throw new PlatformError("the platform responded to an unconditional read with status 304");
         }
         return this.toPublication(result);
@@ -34,7 +34,7 @@
         this.options.onCall("watch");
         const headers = { "if-none-match": this.version, "prefer": `wait=${Math.ceil(longPollMs / 1000)}` };
         const result = await this.get(headers, longPollMs + watchGraceMs, signal);
-        return result.status === notModified
+        return result.status === notModifiedStatus
             ? { revision: this.revision, configuration: undefined, listings: [], zones: [] }
             : this.toPublication(result);
     }
@@ -45,7 +45,7 @@
         const url = `http://${address}/keys/${encodeURIComponent(configurationKey)}`;
         try {
             const result = await httpGet(this.client, { url, headers, timeoutMs, signal });
-            if (result.status !== 200 && result.status !== notModified) {
+            if (result.status !== 200 && result.status !== notModifiedStatus) {
                 throw new PlatformError(`${url} responded with status ${result.status}`);
             }
             return result;
@@ -67,4 +67,4 @@
     }
 }
 
-const notModified = 304;
+const notModifiedStatus = 304;
--- a/packages/daemon/src/platform/platform-link.ts
+++ b/packages/daemon/src/platform/platform-link.ts
@@ -43,10 +43,10 @@
  * Time after the first read, whose response may be stale, in which an instance waits for updates from the fleet before
  * it reads again, in milliseconds.
  */
-const secondReadMs = 1500;
+const secondReadDelayMs = 1500;
 
 /** The same for an instance that has not joined the fleet yet and receives no updates from it. */
-const secondReadUnjoinedMs = 700;
+const unjoinedSecondReadDelayMs = 700;
 
 /** Combined rate of retries by all instances that are not readers while the platform is unavailable. */
 const fleetRetriesPerSecond = 5;
@@ -62,7 +62,7 @@
     private readonly watcher: PlatformWatcher;
     private recoveredAtMs = -Infinity;
     private initialReadAtMs = -Infinity;
-    /** Time as of which the platform last confirmed that nothing is missing here. */
+    /** Time up to which the platform has confirmed that no change is missing. */
     private confirmedAtMs = -Infinity;
     /** Time of this instance's next direct call to the platform while its distributors are stale. */
     private directCallAtMs: number | undefined;
@@ -138,7 +138,8 @@
         if (this.isReader || instance.directory.revision === 0) {
             return 0;
         }
-        const secondReadInMs = this.initialReadAtMs + (instance.fleet === undefined ? secondReadUnjoinedMs : secondReadMs)
+        const secondReadInMs = this.initialReadAtMs
+            + (instance.fleet === undefined ? unjoinedSecondReadDelayMs : secondReadDelayMs)
             - clock.nowMs();
         return Math.max(
             0,
--- a/packages/daemon/src/request/admission-interval.ts
+++ b/packages/daemon/src/request/admission-interval.ts
@@ -19,7 +19,7 @@
         this.admittedAtMs = [...this.admittedAtMs, atMs].slice(-sampleCount);
     }
 
-    /** Milliseconds between two admissions; 0 while there are too few recent ones. */
+    /** Average time between two admissions, in milliseconds; 0 while there are too few recent ones. */
     intervalMs(nowMs: number): number {
         const recent = this.admittedAtMs.filter(atMs => nowMs - atMs <= sampleWindowMs);
         const [first] = recent;
--- a/packages/daemon/src/request/attempt-task.ts
+++ b/packages/daemon/src/request/attempt-task.ts
@@ -57,8 +57,8 @@
 /** Most bytes that are read of a discarded response in order to reuse its connection. */
 const maximumDiscardedBytes = 65_536;
 
-/** Ends of attempts that do not count as a failure of the upstream. */
-const blamelessEnds: ReadonlySet<AttemptEnd> = new Set<AttemptEnd>(["answered", "cancelled", "withdrawn"]);
+/** Ends of attempts that do not count as failures of the upstream. */
+const nonFailureEnds: ReadonlySet<AttemptEnd> = new Set<AttemptEnd>(["answered", "cancelled", "withdrawn"]);
 
 /** Sends a request to one upstream, processes the response and records the result. */
 export class AttemptTask implements ResponseSink {
@@ -165,7 +165,7 @@
         runtime.queue.wake();
         const atMs = services.clock.nowMs();
         const isMismatch = response?.mismatch !== undefined;
-        if (isMismatch || !blamelessEnds.has(result.end)) {
+        if (isMismatch || !nonFailureEnds.has(result.end)) {
             runtime.tracker.observe(upstream.id, { type: "failed", atMs }, upstream.startedAtMs);
         }
         const outcome = this.outcomeOf(result);
@@ -192,7 +192,7 @@
             recordServiceTime(this.serviceTimeSample(atMs));
         }
         if (isComplete && outcome === "ran" && response?.failed !== true) {
-            // A failed response is no evidence that the upstream survives the request: it may not have been processed.
+            // A failed response does not show that the request is harmless, since it may not have been processed.
             services.crashes.recordSuccess(progress.key(body));
         }
         const buffered = isComplete && this.discardedBytes === 0 ? this.buffer?.toBufferedResponse() : undefined;
--- a/packages/daemon/src/request/buffered-response.ts
+++ b/packages/daemon/src/request/buffered-response.ts
@@ -34,7 +34,7 @@
     /**
      * Adds a chunk of the body.
      *
-     * @returns Whether the body is within the maximum size; the chunk is kept in any case.
+     * @returns Whether the body is within the maximum size; the chunk is stored in any case.
      */
     add(chunk: Buffer): boolean {
         this.chunks.push(chunk);
--- a/packages/daemon/src/request/caller-response.ts
+++ b/packages/daemon/src/request/caller-response.ts
@@ -131,7 +131,7 @@
         this.response.end(body);
     }
 
-    /** Aborts an incomplete response: data that was already written is still sent, but not the end of the response. */
+    /** Aborts an incomplete response. If its body is framed, data that was already written is still sent, but not its end. */
     abort(): void {
         const { socket } = this.response;
         if (socket !== null && this.response.headersSent && !this.isUnframed) {
--- a/packages/daemon/src/request/callers-server.ts
+++ b/packages/daemon/src/request/callers-server.ts
@@ -69,7 +69,7 @@
         return listenOn(this.server, this.options.settings);
     }
 
-    /** Announces the end of connections to callers, by `Connection: close` on all further responses. */
+    /** Adds `Connection: close` to the responses to all further requests. */
     announceStop(): void {
         this.stopping = true;
     }
@@ -85,7 +85,7 @@
     /**
      * Accepts no more connections and waits for the requests in flight.
      *
-     * @param expired - Ends the wait.
+     * @param expired - Ends the wait when fulfilled.
      * @returns The number of requests that were aborted.
      */
     async close(expired: Promise<void>): Promise<number> {
--- a/packages/daemon/src/request/crash-detector.ts
+++ b/packages/daemon/src/request/crash-detector.ts
@@ -38,10 +38,10 @@
     readonly atUnixMs: number;
 }
 
-/** Time for which an abandoned attempt is kept, in milliseconds; upstreams may process it after the caller has left. */
+/** Time for which an abandoned attempt is stored, in milliseconds, since its upstream may still process it. */
 const abandonedRetentionMs = 5000;
 
-/** Most abandoned attempts that are kept. */
+/** Maximum number of stored abandoned attempts. */
 const maximumAbandoned = 256;
 
 /** Records crashes of upstreams, and decides which requests are quarantined because they are likely to cause more. */
@@ -61,7 +61,7 @@
         });
         this.trials = new QuarantineTrials({
             isTrialDue: signature => this.history.isTrialDue(signature) && options.isTrialOwner(signature),
-            onTrial: (request, signatures) => log.write(events.withheldTried, { request, patterns: signatures }),
+            onTrial: (request, signatures) => log.write(events.quarantineTrialSent, { request, patterns: signatures }),
         });
     }
 
@@ -135,7 +135,7 @@
     ): void {
         const { log, onChange } = this.options;
         const id = `${request}.${attempt}`;
-        log.write(events.endedUnder, { request, key, upstream, ranMs: Math.round(ranMs) });
+        log.write(events.upstreamCrashed, { request, key, upstream, ranMs: Math.round(ranMs) });
         if (this.history.merge([{ id, key, upstream, ...endTimes, ranMs, hasSucceeded: false, succeededMasks: 0 }])) {
             onChange();
         }
@@ -150,14 +150,14 @@
 
     private handleRelease(signature: RequestSignature): void {
         this.trials.remove(signature);
-        this.options.log.write(events.withheldReleased, { pattern: signature });
+        this.options.log.write(events.quarantineReleased, { pattern: signature });
     }
 
     private reportQuarantine(signature: RequestSignature, crashes: readonly CrashRecord[]): void {
         const { clock, log, metrics } = this.options;
         const nowMs = clock.nowMs();
         metrics.requestsQuarantined.inc();
-        log.write(events.requestWithheld, {
+        log.write(events.requestQuarantined, {
             pattern: signature,
             runs: crashes.map(({ id, key, upstream, endedAtMs, ranMs }) => ({
                 id,
--- a/packages/daemon/src/request/hold-queue.ts
+++ b/packages/daemon/src/request/hold-queue.ts
@@ -34,7 +34,7 @@
     readonly finish: (result: HoldResult) => void;
 }
 
-/** Interval at which a queued request is decided again although no request has finished. */
+/** Interval at which a queued request is decided again although no request has finished, in milliseconds. */
 const reviewIntervalMs = 20;
 
 /**
@@ -96,7 +96,7 @@
         });
     }
 
-    /** Releases the next request to be decided again; called when a request has finished. */
+    /** Releases the next request to be decided again; called whenever an upstream may have headroom. */
     wake(): void {
         const entry = this.selectNext();
         if (entry !== undefined) {
--- a/packages/daemon/src/request/latency-budget.ts
+++ b/packages/daemon/src/request/latency-budget.ts
@@ -1,5 +1,5 @@
 /**
- * Computes the time left of a request: until its target, its slack and its hold time.
+ * Computes a request's time until its target, its slack and its hold time.
  *
  * @packageDocumentation
  */
@@ -22,7 +22,7 @@
 }
 
 /** Share of the target that is assumed for the response time while there is no baseline. */
-const assumedWorkShare = 0.5;
+const assumedResponseShare = 0.5;
 
 /** Shortest hold time, in milliseconds; a shorter one would be decided again without delay. */
 const minimumHoldMs = 1;
@@ -55,7 +55,7 @@
     get slackMs(): number {
         const { route, runtime } = this.options;
         const { name, targetLatencyMs } = route.kind;
-        const p90Ms = runtime.latencyBaselines.p90Of(name) ?? targetLatencyMs * assumedWorkShare;
+        const p90Ms = runtime.latencyBaselines.p90Of(name) ?? targetLatencyMs * assumedResponseShare;
         return targetLatencyMs > 0 ? this.targetLeftMs - p90Ms : 0;
     }
 
--- a/packages/daemon/src/request/may-retry.ts
+++ b/packages/daemon/src/request/may-retry.ts
@@ -7,7 +7,7 @@
 import type { RequestBody } from "./request-body.js";
 import type { RequestProgress } from "./request-progress.js";
 
-/** Attempts beyond the kind's limit that are allowed because others reached no upstream. */
+/** Maximum number of further attempts in place of those that reached no upstream. */
 const maximumUnsentAttempts = 3;
 
 /**
--- a/packages/daemon/src/request/quarantine-trials.ts
+++ b/packages/daemon/src/request/quarantine-trials.ts
@@ -47,7 +47,7 @@
     /** Records a completed request; if it was a trial and has not run, another request may become the trial. */
     recordCompleted(request: RequestId, mayHaveRun: boolean): void {
         if (this.activeTrials.delete(request) && !mayHaveRun) {
-            [...this.trialRequests].filter(([, by]) => by === request).forEach(([signature]) =>
+            [...this.trialRequests].filter(([, trial]) => trial === request).forEach(([signature]) =>
                 this.trialRequests.delete(signature)
             );
         }
--- a/packages/daemon/src/request/record-service-time.ts
+++ b/packages/daemon/src/request/record-service-time.ts
@@ -28,7 +28,7 @@
     }
 };
 
-/** Records the lower bound from a cancelled hedged attempt; without it, busy upstreams would be estimated too fast. */
+/** Records the duration of a cancelled attempt as a lower bound, so that slow upstreams are not estimated too fast. */
 export const recordHedgeLoser = (sample: ServiceTimeSample): void => {
     const { runtime, kind, selectionFacts, latencyMs } = sample;
     const baselineMs = runtime.latencyBaselines.baselineOf(kind);
--- a/packages/daemon/src/request/refuse.ts
+++ b/packages/daemon/src/request/refuse.ts
@@ -9,7 +9,7 @@
 import type { RequestProgress } from "./request-progress.js";
 
 /**
- * Sends the problem of a refused request; if the cause is a rate limit, the retry is recorded in the schedule.
+ * Sends the problem of a refused request; if the cause is a rate limit, records rejection and retry in the schedule.
  *
  * @param progress - The request.
  * @param runtime - State of its service.
--- a/packages/daemon/src/request/rejection-retry-after.ts
+++ b/packages/daemon/src/request/rejection-retry-after.ts
@@ -10,7 +10,7 @@
 
 /**
  * Returns after what time a caller should retry: when the first upstream becomes available if all back off or are limited,
- * at once if an upstream with headroom has shed the request, else after the time set by the policy.
+ * at once if the last attempt was shed although there is headroom, else after the time set by the policy.
  *
  * @param record - The record of the request.
  * @param waits - Time for which each upstream of the service is unavailable.
@@ -27,6 +27,6 @@
         return jitteredRetryAfterMs(waitMs, random.next());
     }
     const wasShed = attempts.at(-1)?.result?.end === "shed";
-    const room = steps.at(-1)?.input.service.room ?? 0;
-    return wasShed && room >= 1 ? 0 : retryAfterOf(route.policy, { targetMs: route.kind.targetLatencyMs });
+    const headroom = steps.at(-1)?.input.service.room ?? 0;
+    return wasShed && headroom >= 1 ? 0 : retryAfterOf(route.policy, { targetMs: route.kind.targetLatencyMs });
 };
--- a/packages/daemon/src/request/request-metadata.ts
+++ b/packages/daemon/src/request/request-metadata.ts
@@ -25,8 +25,8 @@
 
 /** Returns the path of a URL without its query. */
 export const pathOf = (url: string): string => {
-    const query = url.indexOf("?");
-    return query < 0 ? url : url.slice(0, query);
+    const queryIndex = url.indexOf("?");
+    return queryIndex < 0 ? url : url.slice(0, queryIndex);
 };
 
 /** Returns the host of a request in lower case and without its port; empty if there is none. */
--- a/packages/daemon/src/request/request-progress.ts
+++ b/packages/daemon/src/request/request-progress.ts
@@ -26,13 +26,13 @@
 /** Response header with the request ID. */
 export const requestIdHeader = "x-harrierhitch-request-id";
 
-/** Response header that summarises the decision. */
+/** Response header that summarizes the decision. */
 export const decisionHeader = "x-harrierhitch-decision";
 
 /** Status by which callers conclude that the request has not run. */
 const serviceUnavailableStatus = 503;
 
-/** Least time until the deadline for which an attempt is started. */
+/** Time until the deadline up to which no attempt is started, in milliseconds. */
 const minimumAttemptMs = 1;
 
 /** Tracks one request from its arrival to its response. */
@@ -198,7 +198,7 @@
         return { [requestIdHeader]: this.record.id, [decisionHeader]: parts.join(", "), [outcomeHeader]: outcome };
     }
 
-    /** Value for `Retry-After` if the request is rejected now. */
+    /** Value of `Retry-After` if the request is rejected now, in milliseconds. */
     get retryAfterMs(): number {
         return rejectionRetryAfterMs(this.record, this.runtime.tracker.upstreamWaits, this.services.random);
     }
--- a/packages/daemon/src/request/request-task.ts
+++ b/packages/daemon/src/request/request-task.ts
@@ -139,7 +139,7 @@
         const { services, runtime, progress } = this;
         const upstream = runtime.tracker.find(id);
         if (upstream === undefined || !runtime.tracker.admits(upstream)) {
-            // Since the decision the upstream was removed, drained, backed off, reached its limit or left service with its zone.
+            // Since the decision, the upstream was removed, is draining or backing off, or reached its limit, or its zone is out.
             return false;
         }
         const mayStream = (response: ParsedResponse): boolean => this.mayStream(response, task, body);
--- a/packages/daemon/src/request/response-notice.ts
+++ b/packages/daemon/src/request/response-notice.ts
@@ -14,7 +14,7 @@
 export interface ResponseNotice {
     /** Whether the upstream is draining. */
     readonly draining: boolean;
-    /** Milliseconds for which the upstream wants no requests from this instance; `undefined` without a backoff. */
+    /** Backoff that the upstream requests from this instance, in milliseconds; `undefined` if it requests none. */
     readonly backoffMs: number | undefined;
     /** Rate limit of the upstream for all instances together. */
     readonly limit: ParsedLimit;
@@ -38,7 +38,7 @@
 const backoffStatuses: ReadonlySet<number> = new Set([429, 503]);
 
 /**
- * Reads how long an upstream asks to be left without requests.
+ * Reads the backoff that an upstream requests by `Retry-After`.
  *
  * @param status - Status of the response.
  * @param headers - Headers of the response.
--- a/packages/daemon/src/request/retry-after.ts
+++ b/packages/daemon/src/request/retry-after.ts
@@ -45,10 +45,10 @@
         : { delayMs: undefined, unreadable: text.slice(0, maximumLoggedCharacters) };
 };
 
-const delayUntil = (text: string, now: string | undefined): number | undefined => {
-    if (!datePattern.test(text) || now === undefined) {
+const delayUntil = (text: string, responseDate: string | undefined): number | undefined => {
+    if (!datePattern.test(text) || responseDate === undefined) {
         return undefined;
     }
-    const delayMs = Date.parse(text) - Date.parse(now);
+    const delayMs = Date.parse(text) - Date.parse(responseDate);
     return Number.isNaN(delayMs) ? undefined : Math.max(0, delayMs);
 };
--- a/packages/daemon/src/request/send-response.ts
+++ b/packages/daemon/src/request/send-response.ts
@@ -28,7 +28,7 @@
         return;
     }
     if (!response.callerDisconnected) {
-        log.write(events.answerCutOff, { request: record.id, detail: report.result.detail });
+        log.write(events.responseInterrupted, { request: record.id, detail: report.result.detail });
     }
     response.abort();
 };
--- a/packages/daemon/src/stall-recovery.ts
+++ b/packages/daemon/src/stall-recovery.ts
@@ -38,7 +38,7 @@
     start(stallMs: number): void {
         const { log, transport } = this.options;
         const fleet = this.options.fleet();
-        log.write(events.wokeLate, { sleptMs: stallMs });
+        log.write(events.processStalled, { sleptMs: stallMs });
         fleet?.resumeAfterStall(stallMs);
         if (stallMs < minimumRefreshStallMs) {
             return;
--- a/packages/daemon/src/telemetry/event-log.ts
+++ b/packages/daemon/src/telemetry/event-log.ts
@@ -17,7 +17,7 @@
 export interface EventLogOptions {
     /** Lowest level that is written. */
     readonly level: string;
-    /** Fields of every event, for example the instance's id. */
+    /** Fields of every event, for example the instance's ID. */
     readonly base?: EventFields;
     /** Maximum number of lines per second; warnings and errors may use twice as many. */
     readonly linesPerSecond?: number;
--- a/packages/daemon/src/telemetry/metrics.ts
+++ b/packages/daemon/src/telemetry/metrics.ts
@@ -6,7 +6,7 @@
 
 import { collectDefaultMetrics, Counter, Gauge, Histogram, Registry } from "prom-client";
 
-const latencyBuckets = [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10];
+const latencyBucketsSeconds = [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10];
 
 /** Sampling interval of the event loop delay, in milliseconds; each sample wakes the process. */
 const eventLoopPrecisionMs = 500;
@@ -24,7 +24,7 @@
         name: "harrierhitch_request_duration_seconds",
         help: "Time from arrival to the end of the answer",
         labelNames: ["service", "kind"],
-        buckets: latencyBuckets,
+        buckets: latencyBucketsSeconds,
         registers: [this.registry],
     });
 
--- a/packages/daemon/src/telemetry/rate-limit-log.ts
+++ b/packages/daemon/src/telemetry/rate-limit-log.ts
@@ -19,6 +19,7 @@
 
 interface LoggedUpstream {
     readonly atMs: number;
+    /** Exclusions since then that were not logged. */
     suppressed: number;
 }
 
@@ -59,7 +60,7 @@
         this.logged.delete(id);
         this.logged.set(id, { atMs: nowMs, suppressed: 0 });
         [...this.logged.keys()].slice(0, Math.max(0, this.logged.size - maximumEntries)).forEach(old => this.logged.delete(old));
-        log.write(events.leftOutLimited, {
+        log.write(events.excludedByRateLimit, {
             service,
             upstream: id,
             perSecond: takesPerSecond,
--- a/packages/daemon/src/telemetry/telemetry.ts
+++ b/packages/daemon/src/telemetry/telemetry.ts
@@ -90,7 +90,7 @@
     /** Counts and logs a notice that an upstream sent in its response headers. */
     noticeReceived({ service, upstream, notice, request }: ReceivedNotice): void {
         const { draining, backoffMs, limit, invalidRetryAfter } = notice;
-        const source = { service, upstream: upstream.id, startedAtMs: upstream.startedAtMs, request };
+        const origin = { service, upstream: upstream.id, startedAtMs: upstream.startedAtMs, request };
         const count = (name: string): void => this.metrics.upstreamNotices.inc({ service, notice: name });
         if (draining) {
             count("leaving");
@@ -99,18 +99,18 @@
             count("rest");
         }
         if (draining || backoffMs !== undefined) {
-            this.log.write(events.noticeHeard, { ...source, leaving: draining, restMs: backoffMs });
+            this.log.write(events.noticeReceived, { ...origin, leaving: draining, restMs: backoffMs });
         }
         if (limit.type === "named") {
             count("limit");
         }
         if (limit.type === "unreadable") {
             count("unreadable-limit");
-            this.log.write(events.limitUnreadable, { ...source, text: limit.text });
+            this.log.write(events.limitUnreadable, { ...origin, text: limit.text });
         }
         if (invalidRetryAfter !== undefined) {
             count("unreadable");
-            this.log.write(events.retryAfterUnreadable, { ...source, text: invalidRetryAfter });
+            this.log.write(events.retryAfterUnreadable, { ...origin, text: invalidRetryAfter });
         }
     }
 
@@ -164,7 +164,7 @@
                 name => [name, upstreams.filter(({ service }) => service === name).map(({ id }) => id)],
             ),
         );
-        this.log.write(events.listingsRead, { revision, upstreams: ids });
+        this.log.write(events.directoryRead, { revision, upstreams: ids });
     }
 
     /** Logs a directory entry that was added, changed or removed. */
@@ -173,7 +173,7 @@
             return;
         }
         const { service, address, port, availabilityZone } = after ?? before ?? {};
-        this.log.write(events.listingChanged, {
+        this.log.write(events.entryChanged, {
             upstream,
             service,
             address: `${address}:${port}`,
--- a/packages/daemon/src/telemetry/trace-context.ts
+++ b/packages/daemon/src/telemetry/trace-context.ts
@@ -9,9 +9,9 @@
 /** Position of a request in its trace. */
 export interface TraceContext {
     readonly traceId: string;
-    /** Id of this hop's span. */
+    /** Span ID of this hop. */
     readonly spanId: string;
-    /** Id of the caller's span; empty if there is none. */
+    /** Span ID of the caller; empty if there is none. */
     readonly parentSpanId: string;
     readonly sampled: boolean;
 }
@@ -32,7 +32,7 @@
     };
 };
 
-/** Generates a span id. */
+/** Generates a span ID. */
 export const newSpanId = (): string => randomHex(8);
 
 /** Formats the `traceparent` header with a span of this trace as the parent. */
@@ -42,7 +42,7 @@
 /** Bytes generated from one random number. */
 const bytesPerNumber = 4;
 
-/** Trace ids must be unique but not secret; avoiding `node:crypto` speeds up startup. */
+/** Trace IDs must be unique but not secret; avoiding `node:crypto` speeds up startup. */
 const randomHex = (bytes: number): string =>
     Array.from(
         { length: bytes / bytesPerNumber },
--- a/packages/daemon/src/upstream/http-attempt.ts
+++ b/packages/daemon/src/upstream/http-attempt.ts
@@ -174,8 +174,8 @@
     }
 
     private onClose(): void {
-        const isOpen = this.response?.complete !== true || this.response.destroyed;
-        if (isOpen && !this.finished) {
+        const isUnfinished = this.response?.complete !== true || this.response.destroyed;
+        if (isUnfinished && !this.finished) {
             this.fail(new TypeError("the connection closed before the answer was whole"));
         }
     }
--- a/packages/daemon/src/upstream/instance-budgets.ts
+++ b/packages/daemon/src/upstream/instance-budgets.ts
@@ -10,19 +10,19 @@
 export interface InstanceBudgets {
     /** Retries earned per request. */
     readonly retryShare: number;
-    /** Maximum number of saved retries per service. */
+    /** Maximum number of accumulated retries per service. */
     readonly retryBurst: number;
     /** Probes per second of each upstream. */
     readonly probesPerSecond: number;
 }
 
-/** Fraction of each budget that is spent, as a margin for counting at different times. */
+/** Fraction of each budget that is used; the rest is a margin for events that are counted at different times. */
 const spentFraction = 0.85;
 
-/** Maximum number of saved retries if the settings contain no budgets. */
+/** Maximum number of accumulated retries if the settings contain no budgets. */
 const defaultRetryBurst = 10;
 
-/** Minimum capacity for saved retries; below 1, no retry would ever be possible. */
+/** Lower bound of the maximum of accumulated retries; below 1, no retry would ever be possible. */
 const minimumRetryBurst = 1.2;
 
 /**
--- a/packages/daemon/src/upstream/probe-suppression.ts
+++ b/packages/daemon/src/upstream/probe-suppression.ts
@@ -14,7 +14,7 @@
 
 /** Suppresses probes that would only add latency. */
 export class ProbeSuppression {
-    private readonly counts = new Map<ServiceName, number>();
+    private readonly unreportedCounts = new Map<ServiceName, number>();
     private readonly suppressedUntilMs = new Map<ServiceName, number>();
 
     /** @param clock - The clock. */
@@ -28,13 +28,13 @@
     /** Records the result of a probe; failed probes do not count. */
     recordResult(service: ServiceName, result: "told" | "silent" | "failed"): void {
         if (result === "told") {
-            this.counts.delete(service);
+            this.unreportedCounts.delete(service);
         }
         if (result !== "silent") {
             return;
         }
-        const count = (this.counts.get(service) ?? 0) + 1;
-        this.counts.set(service, count % maximumUnreported);
+        const count = (this.unreportedCounts.get(service) ?? 0) + 1;
+        this.unreportedCounts.set(service, count % maximumUnreported);
         if (count === maximumUnreported) {
             this.suppressedUntilMs.set(service, this.clock.nowMs() + suppressionMs);
         }
--- a/packages/daemon/src/upstream/retry-after-schedule.ts
+++ b/packages/daemon/src/upstream/retry-after-schedule.ts
@@ -1,12 +1,12 @@
 /**
- * Staggers the Retry-After of callers rejected because of upstreams' rate limits.
+ * Staggers the `Retry-After` of callers rejected because of upstreams' rate limits.
  *
  * @packageDocumentation
  */
 
 import type { Clock } from "@harrierhitch/core";
 
-/** Longest Retry-After, in milliseconds; the limits may have risen by then. */
+/** Longest `Retry-After`, in milliseconds; the limits may have risen by then. */
 const maximumRetryAfterMs = 30_000;
 
 const secondMs = 1000;
@@ -29,17 +29,17 @@
         return perSecond <= 0 ? maximumRetryAfterMs : Math.min(maximumRetryAfterMs, lastSlotInMs + secondMs / perSecond);
     }
 
-    /** Milliseconds since a caller was rejected whose deadline had not passed; -1 if there was none. */
+    /** Milliseconds since a caller was rejected that could have met its latency target; -1 if there was none. */
     get lastRejectionAgeMs(): number {
         return this.rejectedAtMs === undefined ? -1 : this.clock.nowMs() - this.rejectedAtMs;
     }
 
-    /** Records that a caller was rejected whose deadline had not passed. */
+    /** Records that a caller was rejected that could have met its latency target. */
     recordRejection(): void {
         this.rejectedAtMs = this.clock.nowMs();
     }
 
-    /** Records the Retry-After sent to a caller that will still meet its deadline. */
+    /** Records the `Retry-After` sent to a caller whose deadline is later than the retry. */
     recordRetryAfter(afterMs: number): void {
         this.lastSlotAtMs = Math.max(this.lastSlotAtMs, this.clock.nowMs() + afterMs);
     }
--- a/packages/daemon/src/upstream/service-registry.ts
+++ b/packages/daemon/src/upstream/service-registry.ts
@@ -31,7 +31,7 @@
     readonly after: UpstreamEstimate;
 }
 
-/** Retries available to a new service; few, because every instance of a restarted fleet gets them. */
+/** Retries available to a new service; few, since every instance of a restarted fleet gets them. */
 const initialRetryBurst = 2;
 
 /** Options of {@link ServiceRegistry}. */
--- a/packages/daemon/src/upstream/service-runtime.ts
+++ b/packages/daemon/src/upstream/service-runtime.ts
@@ -25,7 +25,7 @@
     readonly latencyBaselines: LatencyBaselines;
     /** Typical timeouts of callers, by kind. */
     readonly callerTimeouts = new CallerTimeoutEstimator();
-    /** Retry-After schedule for callers rejected because of upstreams' rate limits. */
+    /** `Retry-After` schedule for callers rejected because of upstreams' rate limits. */
     readonly retryAfterSchedule: RetryAfterSchedule;
     private decisions = 0;
 
@@ -67,9 +67,9 @@
      *
      * @param upstreams - Facts of the upstreams that the decision considers.
      * @param tried - Upstreams that the request has tried.
-     * @param askable - Number of upstreams that may be probed now.
+     * @param probeable - Number of upstreams that may be probed now.
      */
-    facts(upstreams: readonly UpstreamFacts[], tried: readonly string[], askable: number): ServiceFacts {
+    facts(upstreams: readonly UpstreamFacts[], tried: readonly string[], probeable: number): ServiceFacts {
         return {
             name: this.name,
             inFlight: this.tracker.inFlight,
@@ -77,15 +77,15 @@
             candidates: upstreams.filter(isEligible).length,
             bestTime: minExpectedTime(upstreams, tried),
             ...headroomAtBest(upstreams, tried),
-            askable,
-            returnInMs: this.returnInMs,
+            askable: probeable,
+            returnInMs: this.nextRetryInMs,
             turnedAwayMs: this.retryAfterSchedule.lastRejectionAgeMs,
             upstreams: this.tracker.size,
         };
     }
 
     /** Milliseconds until the next retry slot for a rejected caller; 0 if no upstream has a rate limit. */
-    private get returnInMs(): number {
+    private get nextRetryInMs(): number {
         const { permittedPerSecond } = this.tracker;
         return permittedPerSecond === undefined ? 0 : this.retryAfterSchedule.nextInMs(permittedPerSecond);
     }
--- a/packages/daemon/src/upstream/upstream-agent.ts
+++ b/packages/daemon/src/upstream/upstream-agent.ts
@@ -25,8 +25,8 @@
 /** A `node:http` agent that closes idle connections before the upstream does. */
 export class UpstreamAgent extends Agent {
     private retired = false;
-    /** Idle timeouts announced by the upstream, by connection. */
-    private readonly announcedTimeoutMs = new WeakMap<Socket, number>();
+    /** Idle timeouts derived from the upstream's announcements, by connection. */
+    private readonly idleTimeoutsMs = new WeakMap<Socket, number>();
 
     /** @param limits - Limits of the connections; `Agent` itself has a property named `options`. */
     constructor(private readonly limits: UpstreamAgentOptions) {
@@ -37,7 +37,7 @@
     recordIdleTimeout(socket: Socket, header: string | undefined): void {
         const seconds = /timeout=(\d+)/.exec(header ?? "")?.[1];
         if (seconds !== undefined) {
-            this.announcedTimeoutMs.set(socket, Number(seconds) * 1000 * idleTimeoutFraction);
+            this.idleTimeoutsMs.set(socket, Number(seconds) * 1000 * idleTimeoutFraction);
         }
     }
 
@@ -59,7 +59,7 @@
         }
         socket.setKeepAlive(true);
         socket.unref();
-        socket.setTimeout(Math.max(1, Math.min(this.limits.keepAliveMs, this.announcedTimeoutMs.get(socket) ?? Infinity)));
+        socket.setTimeout(Math.max(1, Math.min(this.limits.keepAliveMs, this.idleTimeoutsMs.get(socket) ?? Infinity)));
         // Data on an idle connection belongs to no request.
         socket.once("data", destroySocket);
         return true;
