--- a/packages/daemon/src/request/quarantine.ts
+++ b/packages/daemon/src/request/quarantine.ts
@@ -22,8 +22,8 @@
 export const rejectQuarantined = (progress: RequestProgress, body: RequestBody, crashes: CrashDetector): boolean => {
     const { id } = progress.record;
     // A trial is sent only once, since a second attempt could crash a second upstream.
-    const isTrialSpent = crashes.isTrial(id) && progress.mayHaveRun;
-    const isQuarantined = isTrialSpent || crashes.shouldQuarantine(id, () => progress.key(body));
+    const isRepeatedTrial = crashes.isTrial(id) && progress.mayHaveRun;
+    const isQuarantined = isRepeatedTrial || crashes.shouldQuarantine(id, () => progress.key(body));
     if (isQuarantined) {
         const detail = "upstreams have ended one after the other under this request";
         progress.giveUp({ kind: "withheld", detail, outcome: progress.outcomeSoFar(), retryAfterMs: quarantineRetryAfterMs });
--- a/packages/daemon/src/request/request-progress.ts
+++ b/packages/daemon/src/request/request-progress.ts
@@ -32,7 +32,7 @@
 /** Status by which callers conclude that the request has not run. */
 const serviceUnavailableStatus = 503;
 
-/** Time until the deadline up to which no attempt is started, in milliseconds. */
+/** Remaining time at or below which no attempt is started, in milliseconds. */
 const minimumAttemptMs = 1;
 
 /** Tracks one request from its arrival to its response. */
--- a/packages/daemon/src/upstream/service-runtime.ts
+++ b/packages/daemon/src/upstream/service-runtime.ts
@@ -27,7 +27,7 @@
     readonly callerTimeouts = new CallerTimeoutEstimator();
     /** `Retry-After` schedule for callers rejected because of upstreams' rate limits. */
     readonly retryAfterSchedule: RetryAfterSchedule;
-    private decisions = 0;
+    private decisionCount = 0;
 
     /**
      * @param name - The service.
@@ -54,12 +54,12 @@
 
     /** Sequence number of the next decision. */
     get sequence(): number {
-        return this.decisions + 1;
+        return this.decisionCount + 1;
     }
 
     /** Records that a decision was made. */
     advanceSequence(): void {
-        this.decisions += 1;
+        this.decisionCount += 1;
     }
 
     /**
