--- a/packages/daemon/src/telemetry/span-queue.ts
+++ b/packages/daemon/src/telemetry/span-queue.ts
@@ -43,7 +43,7 @@
         this.schedule();
     }
 
-    /** Exports the waiting spans and shuts the exporter down. */
+    /** Exports one batch of the waiting spans, none if an export is running, and shuts the exporter down. */
     async close(): Promise<void> {
         this.timer?.cancel();
         this.flush();
--- a/packages/daemon/src/telemetry/tracing.ts
+++ b/packages/daemon/src/telemetry/tracing.ts
@@ -17,7 +17,7 @@
 export interface Tracing {
     /** Queues the spans of a completed request. */
     add(record: DecisionRecord): void;
-    /** Exports the queued spans and stops. */
+    /** Exports up to one batch of the queued spans and stops. */
     close(): Promise<void>;
 }
 
