--- a/packages/fleet/src/distribution-roles.ts
+++ b/packages/fleet/src/distribution-roles.ts
@@ -15,7 +15,7 @@
     readonly clock: Clock;
     readonly members: Members;
     readonly times: FleetTimes;
-    /** Whether this instance may read the platform before it knows the other members: it is a seed, or there are no seeds. */
+    /** Whether this instance may be a reader before it has settled, because it is a seed or there are no seeds. */
     readonly mayReadAtStart: () => boolean;
 }
 
@@ -144,12 +144,12 @@
         return this.cached;
     }
 
-    /** Returns the members that may be readers. */
+    /** Returns the members that may be readers; this instance is one only once it has settled, or if there is no other. */
     private eligibleReaders(responsive: readonly Member[]): readonly Member[] {
         const { self } = this.options.members;
         const reachable = responsive.filter(({ instance, platformReachable }) => instance === self.instance || platformReachable);
-        const isUnavailable = reachable.length < responsive.length * minimumReachableShare;
-        const eligible = isUnavailable ? responsive : reachable;
+        const isPlatformUnavailable = reachable.length < responsive.length * minimumReachableShare;
+        const eligible = isPlatformUnavailable ? responsive : reachable;
         return this.isSettled || eligible.length === 1 ? eligible : eligible.filter(({ instance }) => instance !== self.instance);
     }
 
--- a/packages/fleet/src/drain-gossip.ts
+++ b/packages/fleet/src/drain-gossip.ts
@@ -2,8 +2,8 @@
  * Gossip about draining upstreams.
  *
  * A drain message states that one incarnation of an upstream drains. Messages about an upstream are ordered by the start
- * of the incarnation only, so the state converges whatever the order and number of deliveries, and each instance forwards
- * a message once. The age of a message only limits how long it is gossiped.
+ * of the incarnation only, so the state converges whatever the order and number of deliveries. Only the first copy of a
+ * message makes an instance start exchanges; regular exchanges repeat it until its age exceeds a limit.
  *
  * @packageDocumentation
  */
--- a/packages/fleet/src/exchange-call.ts
+++ b/packages/fleet/src/exchange-call.ts
@@ -20,8 +20,9 @@
 
 /** Result of one exchange. */
 export interface ExchangeResult {
+    /** Id of the other instance. */
     readonly instance: string;
-    /** Staleness of the other instance's state, on this instance's clock; infinite if it lacks changes that this instance has. */
+    /** Staleness of the other instance's state in milliseconds; infinite if unconfirmed or if this instance lacks changes of it. */
     readonly stalenessMs: number;
 }
 
--- a/packages/fleet/src/exchange.ts
+++ b/packages/fleet/src/exchange.ts
@@ -46,10 +46,10 @@
     readonly onLeaving: (leaving: readonly Member[]) => void;
 }
 
-/** Maximum duration of a long poll, whatever the request specifies. */
+/** Maximum duration of a long poll in milliseconds, whatever the request specifies. */
 const maximumLongPollMs = 5000;
 
-/** Sends and merges state as the client and as the server of exchanges. */
+/** Exchanges state with other instances, as the client and as the server. */
 export class Exchange {
     /** Position up to which each peer's membership updates were received. */
     private readonly receivedCursors = new Map<string, MemberCursor>();
@@ -88,7 +88,7 @@
         return { instance, stalenessMs };
     }
 
-    /** Responds to the exchange of another instance: at once if it lacks changes, otherwise after its long poll. */
+    /** Responds to the exchange of another instance: at once if it lacks changes, otherwise on the next change or timeout. */
     async respond(request: ExchangeRequest): Promise<ExchangeResponse> {
         const requester = request.sender?.instance ?? "";
         this.merge(requester, request);
--- a/packages/fleet/src/fleet.ts
+++ b/packages/fleet/src/fleet.ts
@@ -157,14 +157,14 @@
     }
 
     /**
-     * Resets the failure timeouts of all members after this process was suspended. Exchanges state at once only after a
-     * long stall, because frequent short stalls under load would otherwise add to the load of all instances.
+     * Restarts the failure timeouts of all members after this process was suspended. Exchanges state at once only after a
+     * long stall, because exchanges after each short stall under load would add to the load of all instances.
      *
-     * @param sleptMs - Duration of the stall in milliseconds.
+     * @param stallMs - Duration of the stall in milliseconds.
      */
-    resumeAfterStall(sleptMs: number): void {
+    resumeAfterStall(stallMs: number): void {
         this.members.resetTimeouts();
-        if (sleptMs >= this.times.confirmMs) {
+        if (stallMs >= this.times.confirmMs) {
             this.links.wake(true);
         }
     }
@@ -181,6 +181,7 @@
         return contactPeers({ clock, calls, members, seeds, timeoutMs, signal });
     }
 
+    /** Runs the periodic tasks once per exchange interval; in a large fleet the heartbeat advances less often. */
     private async runHeartbeats(): Promise<void> {
         const { clock } = this.options;
         while (!this.stopping.signal.aborted) {
--- a/packages/fleet/src/link-task.ts
+++ b/packages/fleet/src/link-task.ts
@@ -75,7 +75,7 @@
             const link = currentLink();
             const startedAtMs = this.options.clock.nowMs();
             const hasResponded = await exchangeWith(member(), link.longPollMs > 0 ? "question" : reason, link);
-            // Long polls follow each other without a pause.
+            // A long poll that was answered is followed by the next one without the interval.
             const pauseMs = link.longPollMs === 0 || !hasResponded ? link.intervalMs * (0.75 + 0.5 * random.next()) : 0;
             reason = pauseMs > 0 && await this.changed.wait(pauseMs) ? "news" : "interval";
             await this.throttle(startedAtMs);
--- a/packages/fleet/src/links.ts
+++ b/packages/fleet/src/links.ts
@@ -47,9 +47,10 @@
 export const isFullMesh = (others: readonly Member[]): boolean => others.length <= fullMeshSize;
 
 /**
- * Selects the links of an instance. A reader polls the other readers and has quiet links into other zones; a relay polls
- * readers, all other instances poll a relay, and each has a quiet link into its zone. The selection is stable while the
- * members live, and differs between instances, so that the links connect the fleet.
+ * Selects the links of an instance. Readers and relays poll readers, and all other instances poll a relay. In addition, a
+ * small fleet is fully linked; in a larger one each instance has a link with a longer interval into its zone, and readers
+ * have some into other zones. The selection differs between instances, so that the links connect the fleet, and changes
+ * only with the membership and the roles.
  */
 export const selectLinks = (options: LinkOptions): readonly Link[] => {
     const { self, localRole, members, times } = options;
--- a/packages/fleet/src/partition-recovery.ts
+++ b/packages/fleet/src/partition-recovery.ts
@@ -11,10 +11,10 @@
 import type { PeerCalls } from "./peer-calls.js";
 import type { Seeds } from "./seeds.js";
 
-/** Heartbeats between two contacts of a reader with a seed. Each partition has a reader, so partitions find each other. */
+/** Exchange intervals between two contacts of a reader with a seed; each partition has one, so all contact the seeds. */
 const heartbeatsBetweenSeeds = 5;
 
-/** Heartbeats between two retries of failed members of other availability zones. */
+/** Exchange intervals between two retries of failed members of other availability zones. */
 const heartbeatsBetweenRemoteRetries = 4;
 
 /** Options of {@link PartitionRecovery}. */
@@ -29,12 +29,13 @@
 
 /** Contacts seeds that are not among the alive members, and determines when failed members are retried. */
 export class PartitionRecovery {
+    /** Number of exchange intervals since the start. */
     private heartbeats = 0;
 
     /** @param options - Seeds, members and calls. */
     constructor(private readonly options: PartitionRecoveryOptions) {}
 
-    /** Called with each heartbeat; contacts a seed if it is due. */
+    /** Called once per exchange interval; contacts a seed if it is due. */
     onHeartbeat(): void {
         const { seeds, members: { alive }, roles, calls, onContact } = this.options;
         const isAlone = alive.length === 1;
--- a/packages/fleet/src/peer-calls.ts
+++ b/packages/fleet/src/peer-calls.ts
@@ -26,7 +26,7 @@
     readonly onFailure: (peer: PeerAddress, error: Error) => void;
 }
 
-/** One of this many long polls carries all pending gossip; new gossip is sent by a separate exchange anyway. */
+/** One of this many long polls carries all pending gossip; the others omit it, because a separate exchange sends new gossip. */
 const pollsPerFullExchange = 3;
 
 /** Exchanges state with other instances. */
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Counts a long poll; returns whether it carries recent changes only. */
+    /** Counts a long poll; returns whether it omits older gossip. */
     private isDeltaPoll(): boolean {
         this.polls += 1;
         return this.polls % pollsPerFullExchange !== 0;
--- a/packages/fleet/src/peer-links.ts
+++ b/packages/fleet/src/peer-links.ts
@@ -60,7 +60,7 @@
             member.port > 0 && this.options.members.stateOf(member.instance) !== "left"
         );
         const reachable = candidates.filter(member => this.options.members.stateOf(member.instance) !== "failed");
-        // Retries one failed member, so that the parts of a partitioned fleet reconnect.
+        // One failed member is retried, so that the parts of a partitioned fleet reconnect.
         const failed = candidates.filter(member => !reachable.includes(member) && this.options.mayRetry(member));
         const retried = failed[Math.floor(this.options.random.next() * failed.length)];
         const links = new Map(this.options.select(reachable).map(link => [link.member.instance, link]));
@@ -68,7 +68,7 @@
             void this.options.exchangeWith(retried, "search");
         }
         this.tasks.forEach((task, id) => {
-            // Restarts the task of a link whose kind changed, because it may be sleeping for the interval of the previous kind.
+            // Stops the task if the link is removed or changes its role, because it may be sleeping for the previous interval.
             if (
                 links.get(id)?.longPollMs !== this.links.get(id)?.longPollMs || links.get(id)?.role !== this.links.get(id)?.role
             ) {
--- a/packages/fleet/src/peer-service.ts
+++ b/packages/fleet/src/peer-service.ts
@@ -19,11 +19,11 @@
     readonly onRejected: (reason: string) => void;
 }
 
-/** Maximum number of members, of observations and of crash records in one message. */
+/** Maximum number of members, drain messages, crash records and quarantines, each, in one message. */
 const maximumItems = 1024;
 
 /** Maximum number of directory entries in one message. */
-const maximumListings = 50_000;
+const maximumEntries = 50_000;
 
 /** Creates the service that instances offer to each other. */
 export const peerService = (options: PeerServiceOptions): ServiceImpl<typeof PeerService> => {
@@ -48,7 +48,7 @@
                 "the number of items",
             );
             checkLimit(Math.max(request.endedRuns.length, request.withheld.length) <= maximumItems, "the number of runs");
-            checkLimit((request.directory?.listings.length ?? 0) <= maximumListings, "the number of listings");
+            checkLimit((request.directory?.listings.length ?? 0) <= maximumEntries, "the number of listings");
             return fleet.exchange.respond(request);
         },
         explainLocal: request => {
--- a/packages/fleet/src/staleness-tracker.ts
+++ b/packages/fleet/src/staleness-tracker.ts
@@ -6,10 +6,10 @@
 
 import { type Clock, sleep, type Timer } from "@harrierhitch/core";
 
-/** Share of the confirmation interval by which the staleness has to drop before waiters are notified of that alone. */
+/** Share of the confirmation interval by which a confirmation without changes must lower the staleness to be notified. */
 export const notifyShare = 0.6;
 
-/** Tracks the latest time as of which no published change is missing, and who waits for a change. */
+/** Tracks the latest time as of which no published change is missing, and notifies those who wait for a change. */
 export class StalenessTracker {
     private confirmedAtMs = -Infinity;
     private notifiedConfirmationAtMs = -Infinity;
--- a/packages/fleet/test/crash-spread.test.ts
+++ b/packages/fleet/test/crash-spread.test.ts
@@ -15,7 +15,11 @@
 /** Time within which all instances must quarantine the request, in milliseconds. */
 const propagationMs = 3000;
 
-const started = async (count: number, seed: number, faults?: ConstructorParameters<typeof FakeFleet>[1]): Promise<FakeFleet> => {
+const startFleet = async (
+    count: number,
+    seed: number,
+    faults?: ConstructorParameters<typeof FakeFleet>[1],
+): Promise<FakeFleet> => {
     const fleet = new FakeFleet(seed, faults);
     names(count).forEach(name => fleet.start(name, ["n1", "n2", "n3"]));
     await fleet.clock.advance(8000);
@@ -52,7 +56,7 @@
 describe("crashes of upstreams while processing a request", () => {
     test("reach all of 19 instances over a network that loses and repeats messages", async () => {
         for (const seed of [1, 2, 3, 4, 5]) {
-            const fleet = await started(19, seed, { maximumDelayMs: 40, dropShare: 0.05, repeatShare: 0.05 });
+            const fleet = await startFleet(19, seed, { maximumDelayMs: 40, dropShare: 0.05, repeatShare: 0.05 });
             await recordThreeCrashes(fleet);
             await fleet.clock.advance(propagationMs);
             assert.deepEqual(instancesThatSend(fleet), [], `seed ${seed}`);
@@ -60,7 +64,7 @@
     });
 
     test("reach an instance that starts or restarts later within a second", async () => {
-        const fleet = await started(19, 6);
+        const fleet = await startFleet(19, 6);
         await recordThreeCrashes(fleet);
         await fleet.clock.advance(60_000);
         fleet.start("n20", ["n1", "n2", "n3"]);
@@ -70,7 +74,7 @@
     });
 
     test("reach partitioned instances soon after the partition ends", async () => {
-        const fleet = await started(19, 7);
+        const fleet = await startFleet(19, 7);
         const partitioned = ["n4", "n7", "n16"];
         fleet.partition(partitioned, names(19).filter(name => !partitioned.includes(name)));
         await fleet.clock.advance(5000);
@@ -83,7 +87,7 @@
     });
 
     test("add few messages among 300 instances, and none afterwards", async () => {
-        const fleet = await started(300, 8);
+        const fleet = await startFleet(300, 8);
         const messagesBeforeIdle = fleet.messages;
         await fleet.clock.advance(5000);
         const idleMessages = fleet.messages - messagesBeforeIdle;
--- a/packages/fleet/test/directory.test.ts
+++ b/packages/fleet/test/directory.test.ts
@@ -14,7 +14,7 @@
 const names = ["a", "b", "c", "d", "e"];
 
 /** Creates a directory of five upstreams at revision 5. */
-const open = (grace: { graceMs: number; }) => {
+const openDirectory = (grace: { graceMs: number; }) => {
     const clock = new FakeClock();
     const invalid: string[] = [];
     const directory = new UpstreamDirectory({
@@ -112,7 +112,7 @@
 describe("in the upstream directory", () => {
     cases.forEach(({ name, graceMs = 0, updates, immediately, afterGrace = immediately }) => {
         test(name, async () => {
-            const { clock, directory, state } = open({ graceMs });
+            const { clock, directory, state } = openDirectory({ graceMs });
             updates.forEach(({ revision, isSnapshot = false, entries }) =>
                 directory.merge({ revision, isSnapshot, entries, zones: [] })
             );
@@ -124,14 +124,14 @@
 });
 
 test("an entry that cannot be parsed is reported", () => {
-    const { directory, invalid } = open({ graceMs: 0 });
+    const { directory, invalid } = openDirectory({ graceMs: 0 });
     directory.merge({ revision: 6, isSnapshot: false, entries: [entry("a", 6, "bad")], zones: [] });
     assert.deepEqual(invalid, ["a"]);
 });
 
 test("the update from one directory brings another one to the same state", async () => {
-    const first = open({ graceMs: 0 });
-    const second = open({ graceMs: 0 });
+    const first = openDirectory({ graceMs: 0 });
+    const second = openDirectory({ graceMs: 0 });
     first.directory.merge({ revision: 7, isSnapshot: false, entries: [entry("a", 6), entry("f", 7, "ready")], zones: [] });
     second.directory.merge(first.directory.updatesSince(second.directory.revision));
     assert.deepEqual([second.state(), second.directory.revision], [first.state(), 7]);
@@ -150,8 +150,8 @@
 
 test("a removal that is unconfirmed in one directory stays unconfirmed for the remaining time in another", async () => {
     const grace = { graceMs: 700 };
-    const first = open(grace);
-    const second = open({ graceMs: 0 });
+    const first = openDirectory(grace);
+    const second = openDirectory({ graceMs: 0 });
     first.directory.merge({ revision: 6, isSnapshot: false, entries: [entry("a", 6)], zones: [] });
     await first.clock.advance(500);
     second.directory.merge(first.directory.updatesSince(second.directory.revision));
--- a/packages/fleet/test/drain-gossip.test.ts
+++ b/packages/fleet/test/drain-gossip.test.ts
@@ -122,7 +122,7 @@
                 const { messages, recordedAsNew, recorded } = await spread(options);
                 assert.ok(messages <= options.instances * linksPerInstance * 2, `${messages} messages`);
                 assert.ok(recordedAsNew <= options.instances, `${recordedAsNew} times recorded as new`);
-                assert.ok(options.dropShare > 0 || recorded === options.instances, `${recorded} have recorded it`);
+                assert.ok(options.dropShare > 0 || recorded === options.instances, `${recorded} instances have recorded it`);
             }),
             { seed: 3, numRuns: 25 },
         );
@@ -201,7 +201,7 @@
         fleet.node("n0").fleet.gossipNow();
         await fleet.clock.advance(5);
     }
-    // Two links, each with a task for long polls and one for urgent changes, and the long polls that these end.
+    // Both instances exchange in two loops, for long polls and for urgent changes; the latter also end some long polls.
     assert.ok(fleet.messages - before <= 4 * 10 * 3 + 8, `${fleet.messages - before} messages in 3 s`);
 });
 
@@ -232,12 +232,12 @@
             fleet.unblockAll();
             await fleet.clock.advance(6000);
             const during = fleet.messages - before;
-            assert.ok(during <= quiet * 2 + size * 8, `${during} messages in 8 s with it, ${quiet} without`);
+            assert.ok(during <= quiet * 2 + size * 8, `${during} messages in 8 s with the drain message, ${quiet} without`);
             const withoutRecord = fleet.running.filter(node =>
                 !node.fleet.drainGossip.pending().some(({ upstream }) => upstream === "main-1")
             );
-            // A partitioned instance learns it from the upstream itself or from the platform.
-            assert.ok(partitionShare > 0 || withoutRecord.length === 0, `${withoutRecord.length} have not recorded it`);
+            // A partitioned instance may miss the gossip; it detects the draining from the upstream or the platform.
+            assert.ok(partitionShare > 0 || withoutRecord.length === 0, `${withoutRecord.length} instances have not recorded it`);
             const afterwards = await messagesIn(fleet, 8000);
             assert.ok(afterwards <= quiet * 1.3 + size, `${afterwards} messages in 8 s afterwards, ${quiet} before`);
         });
--- a/packages/fleet/test/fake-fleet.ts
+++ b/packages/fleet/test/fake-fleet.ts
@@ -12,7 +12,7 @@
 import { type DrainMessage, Fleet, type PeerAddress, peerService } from "../src/index.js";
 import { discoveredUpstream } from "./discovered-upstream.js";
 
-/** Faults of the simulated network; shares are those of all messages. */
+/** Faults of the simulated network; shares are fractions of all messages. */
 export interface NetworkFaults {
     readonly maximumDelayMs: number;
     readonly dropShare: number;
@@ -186,14 +186,14 @@
             (request: never, options?: { readonly signal?: AbortSignal; }) =>
                 this.deliver(from, to, options?.signal, async () => {
                     const service = this.services.get(to) as Readonly<Record<string, (message: unknown) => unknown>> | undefined;
-                    const sent = toBinary(method.input, request);
-                    this.bytes += sent.length;
-                    const received = fromBinary(method.input, sent);
-                    const response = await service?.[method.localName]?.(received);
+                    const encodedRequest = toBinary(method.input, request);
+                    this.bytes += encodedRequest.length;
+                    const decodedRequest = fromBinary(method.input, encodedRequest);
+                    const response = await service?.[method.localName]?.(decodedRequest);
                     const output = { $typeName: method.output.typeName, ...response as object } as never;
-                    const answered = toBinary(method.output, output);
-                    this.bytes += answered.length;
-                    return fromBinary(method.output, answered);
+                    const encodedResponse = toBinary(method.output, output);
+                    this.bytes += encodedResponse.length;
+                    return fromBinary(method.output, encodedResponse);
                 }),
         ]);
         return Object.fromEntries(methods) as Client<typeof PeerService>;
--- a/packages/fleet/test/fleet.test.ts
+++ b/packages/fleet/test/fleet.test.ts
@@ -191,20 +191,20 @@
 });
 
 test("under random partitions no generation decreases, and afterwards all instances agree", async () => {
-    const cut = fc.record({
+    const step = fc.record({
         from: fc.integer({ min: 0, max: 5 }),
         to: fc.integer({ min: 0, max: 5 }),
-        offer: fc.integer({ min: 0, max: 5 }),
+        publisher: fc.integer({ min: 0, max: 5 }),
     });
     await fc.assert(
         fc.asyncProperty(
             fc.integer({ min: 1, max: 1_000_000 }),
-            fc.array(cut, { minLength: 1, maxLength: 15 }),
+            fc.array(step, { minLength: 1, maxLength: 15 }),
             async (seed, steps) => {
                 const fleet = await startFleet(6, seed);
-                for (const [index, { from, to, offer }] of steps.entries()) {
+                for (const [index, { from, to, publisher }] of steps.entries()) {
                     fleet.block(`n${from}`, `n${to}`);
-                    fleet.node(`n${offer}`).apply(configurationText(index + 1));
+                    fleet.node(`n${publisher}`).apply(configurationText(index + 1));
                     await fleet.clock.advance(300);
                 }
                 fleet.unblockAll();
--- a/packages/fleet/test/limits-spread.test.ts
+++ b/packages/fleet/test/limits-spread.test.ts
@@ -13,7 +13,7 @@
 const storedLimits = (nodes: readonly FakeNode[]): readonly (number | undefined)[] =>
     nodes.map(({ limits }) => limits.find(incarnation)?.perSecond);
 
-const open = async (seed: number, count: number, faults?: NetworkFaults): Promise<FakeFleet> => {
+const startFleet = async (seed: number, count: number, faults?: NetworkFaults): Promise<FakeFleet> => {
     const fleet = new FakeFleet(seed, faults);
     Array.from({ length: count }, (_, index) => fleet.start(`n${index}`, ["n0", "n1", "n2"]));
     await fleet.clock.advance(8000);
@@ -30,7 +30,7 @@
 describe("a rate limit that an upstream announces to one instance", () => {
     [{ count: 5, withinMs: 300 }, { count: 19, withinMs: 1500 }, { count: 99, withinMs: 2500 }].forEach(({ count, withinMs }) => {
         test(`reaches all ${count} within ${withinMs} ms, and so does its end`, async () => {
-            const fleet = await open(1, count);
+            const fleet = await startFleet(1, count);
             announce(fleet, "n4", 3.6);
             await fleet.clock.advance(withinMs);
             assert.deepEqual([...new Set(storedLimits(fleet.running))], [3.6]);
@@ -42,7 +42,7 @@
 
     [1, 2, 3].forEach(seed => {
         test(`reaches all eventually though messages are lost, repeated and blocked, seed ${seed}`, async () => {
-            const fleet = await open(seed, 9, { maximumDelayMs: 40, dropShare: 0.2, repeatShare: 0.2 });
+            const fleet = await startFleet(seed, 9, { maximumDelayMs: 40, dropShare: 0.2, repeatShare: 0.2 });
             fleet.partition(["n0", "n1", "n2", "n3"], ["n4", "n5", "n6", "n7", "n8"]);
             announce(fleet, "n1", 5);
             await fleet.clock.advance(700);
@@ -55,7 +55,7 @@
     });
 
     test("is gossiped for a limited time: a fleet in which several receive it is as quiet afterwards as before", async () => {
-        const fleet = await open(1, 19);
+        const fleet = await startFleet(1, 19);
         const count = async (): Promise<number> => {
             const before = fleet.messages;
             await fleet.clock.advance(15_000);
--- a/packages/fleet/test/member-assignment.test.ts
+++ b/packages/fleet/test/member-assignment.test.ts
@@ -17,7 +17,7 @@
 const memberOf = (index: number): Member => create(MemberSchema, { instance: instanceId(`n${index}`), incarnation: 1n });
 
 /** Creates the assignment of an instance that knows some members. */
-const open = async (self: number, known: readonly number[], afterMs = settleMs) => {
+const createAssignment = async (self: number, known: readonly number[], afterMs = settleMs) => {
     const clock = new FakeClock();
     const members = new Members({ clock, self: memberOf(self), times: defaultFleetTimes });
     members.merge(known.map(memberOf), "other");
@@ -28,7 +28,7 @@
 
 /** Returns the number of participants that an instance counts for a cold upstream. */
 const participantsOf = async (self: number, known: readonly number[], upstream: string, afterMs = settleMs): Promise<number> =>
-    (await open(self, known, afterMs)).assignment.participantsOf(upstream);
+    (await createAssignment(self, known, afterMs)).assignment.participantsOf(upstream);
 
 const range = (count: number): readonly number[] => Array.from({ length: count }, (_, index) => index);
 
@@ -63,7 +63,9 @@
         [2, 9, 42].forEach(wanted => {
             test(`up to ${wanted} of ${size} are participants, and all agree on their number`, async () => {
                 const shares = await Promise.all(
-                    range(size).map(async self => (await open(self, range(size))).assignment.limitShare("u1", wanted)),
+                    range(size).map(async self =>
+                        (await createAssignment(self, range(size))).assignment.limitShare("u1", wanted)
+                    ),
                 );
                 const participants = Math.min(wanted, size);
                 assert.equal(shares.filter(({ isParticipant }) => isParticipant).length, participants);
@@ -73,18 +75,18 @@
     );
 
     test("an instance that knows no other, has just joined, or leaves is no participant", async () => {
-        const lonely = await open(0, []);
-        assert.deepEqual(lonely.assignment.limitShare("u1", 9), { isParticipant: false, participants: 2, members: 2 });
-        const early = await open(0, range(3), settleMs - 1);
-        assert.equal(early.assignment.limitShare("u1", 9).isParticipant, false);
-        const leaving = await open(0, range(3));
+        const alone = await createAssignment(0, []);
+        assert.deepEqual(alone.assignment.limitShare("u1", 9), { isParticipant: false, participants: 2, members: 2 });
+        const unsettled = await createAssignment(0, range(3), settleMs - 1);
+        assert.equal(unsettled.assignment.limitShare("u1", 9).isParticipant, false);
+        const leaving = await createAssignment(0, range(3));
         assert.equal(leaving.assignment.limitShare("u1", 9).isParticipant, true);
         leaving.members.updateSelf({ leaving: true });
         assert.equal(leaving.assignment.limitShare("u1", 9).isParticipant, false);
     });
 
     test("members that are discovered later count", async () => {
-        const { assignment, members } = await open(0, range(3));
+        const { assignment, members } = await createAssignment(0, range(3));
         assert.equal(assignment.limitShare("u1", 9).participants, 3);
         members.merge(range(8).map(memberOf), "other");
         assert.equal(assignment.limitShare("u1", 9).participants, 8);
--- a/packages/fleet/test/select-distributors.test.ts
+++ b/packages/fleet/test/select-distributors.test.ts
@@ -38,7 +38,7 @@
 const staleMs = 1500;
 
 /** Starts 12 instances in three availability zones whose readers are confirmed by the platform once a second. */
-const start = async () => {
+const startFleet = async () => {
     const fleet = new FakeFleet(3);
     const ids = Array.from({ length: 12 }, (_, index) => `n${index}`);
     ids.forEach(id => fleet.start(id, ids.slice(0, 3)));
@@ -63,7 +63,7 @@
 
 describe("the published state is current on all instances", () => {
     test("without failures", async () => {
-        const { fleet } = await start();
+        const { fleet } = await startFleet();
         assert.equal(readersOf(fleet).length, 2);
         for (let second = 0; second < 5; second += 1) {
             await fleet.clock.advance(1000);
@@ -72,7 +72,7 @@
     });
 
     test("when one reader is killed; only its subscribers are stale, and for a short time", async () => {
-        const { fleet } = await start();
+        const { fleet } = await startFleet();
         const killed = readersOf(fleet)[0]!;
         const subscribers = fleet.running.filter(node => zoneOf(node) === zoneOf(killed)).map(({ id }) => id);
         fleet.kill(killed.id);
@@ -85,7 +85,7 @@
     });
 
     test("soon after all readers were killed", async () => {
-        const { fleet } = await start();
+        const { fleet } = await startFleet();
         readersOf(fleet).forEach(({ id }) => fleet.kill(id));
         await fleet.clock.advance(4000);
         assert.equal(readersOf(fleet).length, 2);
@@ -93,14 +93,14 @@
     });
 
     test("until no reader is confirmed any more; then all instances are stale", async () => {
-        const { fleet, unconfirmed } = await start();
+        const { fleet, unconfirmed } = await startFleet();
         fleet.running.forEach(node => unconfirmed.add(node.id));
         await fleet.clock.advance(2600);
         assert.ok(fleet.running.every(node => node.fleet.stalenessTracker.stalenessMs > staleMs));
     });
 
     test("only if they lack no change of the reader", async () => {
-        const { fleet, unconfirmed } = await start();
+        const { fleet, unconfirmed } = await startFleet();
         const [reader] = readersOf(fleet);
         fleet.running.filter(node => node !== reader).forEach(({ id }) => unconfirmed.add(id));
         const subscriber = fleet.running.find(node => !node.fleet.roles.isReader)!;
--- a/packages/published/src/active-configuration.ts
+++ b/packages/published/src/active-configuration.ts
@@ -20,7 +20,7 @@
 export class ActiveConfiguration {
     private loaded: LoadedConfiguration | undefined;
 
-    /** @param check - Parses and validates a document; defaults to the product's own syntax. */
+    /** @param check - Parses and validates a document; {@link checkConfiguration} by default. */
     constructor(private readonly check: (file: string, text: string) => CheckResult<Configuration> = checkConfiguration) {}
 
     /** The active configuration; `undefined` until the first document is accepted. */
--- a/packages/published/src/fleet-times.ts
+++ b/packages/published/src/fleet-times.ts
@@ -81,7 +81,7 @@
 /** Number of members above which the interval of quiet links grows with the fleet. */
 const quietFleetSize = 24;
 
-/** Number of members up to which an instance sends one heartbeat per second. */
+/** Number of members that do not count for the heartbeat interval, which is one second with up to four members more. */
 const heartbeatFleetSize = 12;
 
 /** Approximate number of heartbeats per second that each instance receives in a large fleet. */
@@ -90,7 +90,7 @@
 const secondMs = 1000;
 
 /**
- * Returns the interval between two heartbeats of an instance. It grows with the fleet, because every heartbeat reaches
+ * Returns the interval between two heartbeats of an instance, in milliseconds. It grows with the fleet, because every heartbeat reaches
  * every instance.
  *
  * @param members - Number of members of the fleet.
--- a/packages/published/src/index.ts
+++ b/packages/published/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * What the platform published as one instance knows it: the configuration, the discovered upstreams, and the times within
- * which changes have to reach all instances. It doesn't depend on the protocol between instances, which keeps startup fast.
+ * The published state as known to one instance: the configuration and the discovered upstreams, and the times within which
+ * changes have to reach all instances. It doesn't depend on the protocol between instances, which keeps startup fast.
  *
  * @packageDocumentation
  */
--- a/packages/published/src/upstream-directory.ts
+++ b/packages/published/src/upstream-directory.ts
@@ -76,7 +76,7 @@
 const minimumSuddenRemovals = 3;
 const suddenRemovalShare = 0.2;
 
-/** Time for which such removals are unconfirmed; below the two seconds within which a removal must take effect. */
+/** Time for which such removals are unconfirmed, in milliseconds; a removal must take effect within two seconds. */
 const suddenGraceMs = 1_400;
 
 /** Number of revisions for which removed entries are retained, so that they can be sent to other instances. */
--- a/packages/standin/src/bench-decisions.ts
+++ b/packages/standin/src/bench-decisions.ts
@@ -39,7 +39,7 @@
 
 const normalBehaviour: Partial<UpstreamBehaviour> = { slowness: 1, failStatus: 0, draining: false, reset: false };
 
-/** Faults of the first upstream, by the first part of a scenario's name. */
+/** Faults of the first upstream, by the first part of a scenario's name; the second part is the load in percent. */
 const faults: Readonly<Record<string, Partial<UpstreamBehaviour>>> = {
     calm: {},
     slow: { slowness: 10 },
--- a/packages/standin/src/bench-memory.ts
+++ b/packages/standin/src/bench-memory.ts
@@ -10,7 +10,7 @@
 import { runInNewContext } from "node:vm";
 import { benchInput, benchPolicy } from "./bench-decision-time.js";
 
-const records = 3000;
+const recordCount = 3000;
 
 /** Writes the heap size of one decision with its input, by the number of candidates. */
 export const reportRecordMemory = (write: (text: string) => void): void => {
@@ -21,7 +21,7 @@
     const sizes = [0, 10, 20, 40].map(candidates => {
         collect();
         const before = process.memoryUsage().heapUsed;
-        const retained = Array.from({ length: records }, () => {
+        const retained = Array.from({ length: recordCount }, () => {
             const input = benchInput(candidates, random);
             return { atMs: random.next(), tookMs: random.next(), input, decision: decide(policy, input) };
         });
--- a/packages/standin/src/bench.ts
+++ b/packages/standin/src/bench.ts
@@ -18,7 +18,7 @@
 
 const upstreamCount = 10;
 /** Number of rounds of the saturation test. */
-const rounds = 3;
+const saturationRounds = 3;
 const roundSeconds = 3;
 const saturatingConnections = 64;
 const latencyRounds = 3;
@@ -73,18 +73,18 @@
 };
 
 const reportTraffic = async (direct: string, passThrough: string, daemon: string, metrics: string): Promise<void> => {
-    const passThroughCpuSeconds = () => passThroughCpu(passThrough);
-    const daemonCpu = () => metricOf(metrics, "process_cpu_seconds_total");
+    const passThroughCpuSeconds = () => readCpuSeconds(passThrough);
+    const daemonCpuSeconds = () => metricOf(metrics, "process_cpu_seconds_total");
     const best = { passThrough: 0, daemon: 0 };
     await closedLoop(daemon, saturatingConnections, 2);
     await closedLoop(passThrough, saturatingConnections, 2);
     write(`Saturation, ${saturatingConnections} connections, ${roundSeconds} s a round, alternating`);
-    for (let round = 0; round < rounds; round += 1) {
+    for (let round = 0; round < saturationRounds; round += 1) {
         const passThroughResult = await withCpu(
             passThroughCpuSeconds,
             () => closedLoop(passThrough, saturatingConnections, roundSeconds),
         );
-        const daemonResult = await withCpu(daemonCpu, () => closedLoop(daemon, saturatingConnections, roundSeconds));
+        const daemonResult = await withCpu(daemonCpuSeconds, () => closedLoop(daemon, saturatingConnections, roundSeconds));
         best.passThrough = Math.max(best.passThrough, rate(passThroughResult));
         best.daemon = Math.max(best.daemon, rate(daemonResult));
         const rates = `pass-through ${rate(passThroughResult).toFixed(0)}/s, daemon ${rate(daemonResult).toFixed(0)}/s`;
@@ -132,7 +132,7 @@
     return { ...result, cpuMicroseconds: (await cpuSeconds() - before) * 1_000_000 / result.requests };
 };
 
-const passThroughCpu = async (url: string): Promise<number> => {
+const readCpuSeconds = async (url: string): Promise<number> => {
     const usage = await (await request(new URL("/cpu", url))).body.json() as { readonly user: number; readonly system: number; };
     return (usage.user + usage.system) / 1_000_000;
 };
--- a/packages/standin/src/soak/fault-proxy.ts
+++ b/packages/standin/src/soak/fault-proxy.ts
@@ -54,9 +54,9 @@
     }
 
     private forwardConnection(client: Socket): void {
-        const server = connect({ host: "127.0.0.1", port: this.targetPort() });
-        this.forward(client, server, () => this.fault.dropsRequests);
-        this.forward(server, client, () => this.fault.dropsResponses);
+        const target = connect({ host: "127.0.0.1", port: this.targetPort() });
+        this.forward(client, target, () => this.fault.dropsRequests);
+        this.forward(target, client, () => this.fault.dropsResponses);
     }
 
     private forward(from: Socket, to: Socket, isDropping: () => boolean): void {
--- a/packages/standin/src/soak/limit-checker.ts
+++ b/packages/standin/src/soak/limit-checker.ts
@@ -26,7 +26,7 @@
 /** Time after a request's arrival from which its instance is expected to have received the announcement, in milliseconds. */
 const propagationMs = 1500;
 
-/** Largest number of requests allowed within the window. */
+/** Largest number of requests allowed within the window; includes a tolerance. */
 const maximumRequests = (perSecond: number): number => perSecond * windowMs / 1000 * 1.5 + 5;
 
 /** Counts the requests that arrive at each upstream with an announced rate limit. */
--- a/packages/standin/src/soak/soak-checker.ts
+++ b/packages/standin/src/soak/soak-checker.ts
@@ -145,7 +145,7 @@
     clearAnnouncements(upstream: string): void {
         this.limitChecker.clear(upstream);
         [this.backoffs, this.drains].forEach(announcements =>
-            [...announcements.keys()].filter(key => key.endsWith(` ${upstream}`)).forEach(pair => announcements.delete(pair))
+            [...announcements.keys()].filter(key => key.endsWith(` ${upstream}`)).forEach(key => announcements.delete(key))
         );
     }
 
--- a/packages/standin/src/upstream-standin.ts
+++ b/packages/standin/src/upstream-standin.ts
@@ -25,7 +25,7 @@
     readonly limitPerSecond: number | undefined;
 }
 
-/** The announcement of a response that is never sent. */
+/** Announces nothing, like a response that is never sent. */
 export const noAnnouncement: UpstreamAnnouncement = { backoffMs: 0, isDraining: false, limitPerSecond: undefined };
 
 /** Headers with invalid values; instances ignore the header and use the rest of the response. */
@@ -101,7 +101,7 @@
         return createServer({ keepAliveTimeout: 60_000 }, (request, response) => void this.handleRequest(request, response));
     }
 
-    /** Simulates a crash: closes all connections, and listens on the same port again later without its earlier requests. */
+    /** Simulates a crash: closes all connections, discards all requests, and later listens on the same port again. */
     private async crash(): Promise<void> {
         const { port } = this.server.address() as AddressInfo;
         this.crashes += 1;
@@ -136,13 +136,13 @@
         this.arrived += 1;
         this.lastTraceparent = String(request.headers["traceparent"] ?? "");
         const { slots, queue, draining, failStatus, hang, reset, restMs, limitPerSecond } = this.behaviour;
-        const isSent = !reset && failStatus === 0;
+        const isAnnouncing = !reset && failStatus === 0;
         const announced = {
             backoffMs: draining ? 0 : restMs,
             isDraining: draining,
             limitPerSecond: hang ? undefined : limitPerSecond,
         };
-        this.onArrival(request, isSent ? announced : noAnnouncement);
+        this.onArrival(request, isAnnouncing ? announced : noAnnouncement);
         if (reset) {
             await body;
             request.socket.destroy();
@@ -203,17 +203,17 @@
 
     private serviceMs(): number {
         const { meanServiceMs, slowness, coldMs, coldFactor } = this.behaviour;
-        const cold = performance.now() - this.startedAtMs < coldMs ? coldFactor : 1;
+        const currentColdFactor = performance.now() - this.startedAtMs < coldMs ? coldFactor : 1;
         const exponential = -Math.log(1 - this.random.next());
-        return meanServiceMs * (0.5 + 0.5 * exponential) * slowness * cold;
+        return meanServiceMs * (0.5 + 0.5 * exponential) * slowness * currentColdFactor;
     }
 
     private headers(): Record<string, string | number> {
         const { draining, reportedInFlight, limitPerSecond, chatter } = this.behaviour;
-        const isDisturbed = this.random.next() < chatter;
+        const hasInvalidHeader = this.random.next() < chatter;
         return {
-            ...(isDisturbed ? invalidHeaders[Math.floor(this.random.next() * invalidHeaders.length)] : {}),
-            ...(isDisturbed ? { connection: "close" } : {}),
+            ...(hasInvalidHeader ? invalidHeaders[Math.floor(this.random.next() * invalidHeaders.length)] : {}),
+            ...(hasInvalidHeader ? { connection: "close" } : {}),
             ...(limitPerSecond === undefined ? {} : { "x-upstream-limit": String(limitPerSecond) }),
             "x-upstream-in-flight": reportedInFlight ?? this.running + this.waiting.length,
             ...(draining ? { "x-upstream-state": "draining" } : {}),
--- a/packages/standin/test/fleet-system.test.ts
+++ b/packages/standin/test/fleet-system.test.ts
@@ -73,7 +73,7 @@
     const responses = await Promise.all(
         Array.from({ length: 9 }, (_, number) => fetch(`http://127.0.0.1:${ports[number % 3]!.callers}/read/x`)),
     );
-    assert.ok(responses.every(answer => answer.status === 200));
+    assert.ok(responses.every(response => response.status === 200));
     assert.equal(system.upstreams[0]!.arrived, arrivedBefore);
     system.platform.behaviour = {};
 });
--- a/packages/standin/test/interleaved.test.ts
+++ b/packages/standin/test/interleaved.test.ts
@@ -24,12 +24,12 @@
     const runWorker = async (): Promise<void> => {
         while (next < total) {
             const number = String(next++);
-            const issue = Number(number) % 10 === 0;
+            const isIssue = Number(number) % 10 === 0;
             const timeoutMs = random.next() < 0.02 ? "1" : "5000";
-            const response = await request(`${system.url}${issue ? "/issue" : `/read/${number}`}`, {
-                method: issue ? "POST" : "GET",
+            const response = await request(`${system.url}${isIssue ? "/issue" : `/read/${number}`}`, {
+                method: isIssue ? "POST" : "GET",
                 headers: { "x-request-number": number, "x-request-timeout-ms": timeoutMs },
-                body: issue ? number : null,
+                body: isIssue ? number : null,
             });
             const body = await response.body.json() as { readonly key?: string; readonly outcome?: string; };
             const outcome = response.statusCode === 200 ? "ran" : body.outcome ?? "none";
--- a/packages/standin/test/operators-tls.test.ts
+++ b/packages/standin/test/operators-tls.test.ts
@@ -63,7 +63,7 @@
     assert.equal((await exchange("instance")).sender?.instance, "entry-1");
 });
 
-describe("the peers' port refuses and counts", () => {
+describe("the peers' port rejects and counts", () => {
     [
         { name: "a certificate of another authority", call: () => exchange("stranger") },
         { name: "an expired certificate", call: () => exchange("expired") },
@@ -71,9 +71,9 @@
         { name: "another fleet", call: () => exchange("instance", "other") },
     ].forEach(({ name, call }) => {
         test(name, async () => {
-            const before = await refusedPeers();
+            const before = await rejectedPeers();
             await assert.rejects(call());
-            await waitUntil(async () => await refusedPeers() > before);
+            await waitUntil(async () => await rejectedPeers() > before);
         });
     });
 
@@ -84,7 +84,7 @@
     });
 });
 
-const refusedPeers = async (): Promise<number> => {
+const rejectedPeers = async (): Promise<number> => {
     const metrics = await daemon.metricsText();
     return Number(/^harrierhitch_peers_refused_total (\d+)/m.exec(metrics)?.[1] ?? 0);
 };
--- a/packages/standin/test/rolling-restart.test.ts
+++ b/packages/standin/test/rolling-restart.test.ts
@@ -73,8 +73,8 @@
     assert.equal(new Set(runs.map(([key]) => key)).size, runs.length);
     assert.ok(runs.every(([, count]) => count === 1));
     assert.deepEqual(generations, [2, 3, 4]);
-    assert.ok(responses.length > 50 && responses.every(answer => answer.outcome !== null));
-    const ran = responses.filter(answer => answer.outcome === "ran").length;
+    assert.ok(responses.length > 50 && responses.every(response => response.outcome !== null));
+    const ran = responses.filter(response => response.outcome === "ran").length;
     assert.equal(ran <= runs.length, true);
     assert.ok(ran > responses.length * 0.9, `${ran} of ${responses.length} ran`);
 });
