--- a/packages/command/src/scenario.ts
+++ b/packages/command/src/scenario.ts
@@ -24,7 +24,7 @@
 const number = (description: string, defaultValue: number, unit?: string) =>
     numberKey({ description, defaultValue, minimum: 0, maximum: 1_000_000_000, ...(unit === undefined ? {} : { unit }) });
 
-const signed = (description: string, defaultValue: number, unit?: string) =>
+const numberOrMinusOne = (description: string, defaultValue: number, unit?: string) =>
     numberKey({ description, defaultValue, minimum: -1, maximum: 1_000_000_000, ...(unit === undefined ? {} : { unit }) });
 
 /** Schema of a scenario file. */
@@ -54,7 +54,7 @@
         inFlight: number("Requests in flight from this instance.", 0),
         queued: number("Requests in the queue.", 0),
         returnInMs: number("Time until one more caller rejected due to rate limits can be served.", 0, "ms"),
-        turnedAwayMs: signed(
+        turnedAwayMs: numberOrMinusOne(
             "Time since a caller that could have met its target was rejected due to rate limits; -1 for none.",
             -1,
             "ms",
@@ -72,7 +72,7 @@
             inFlight: number("Requests in flight from this instance.", 0),
             limit: number("Maximum requests in flight from this instance.", 16),
             restMs: number("Time for which this instance must back off.", 0, "ms"),
-            takesPerSecond: signed("Announced rate limit for all instances in requests per second; -1 for none.", -1),
+            takesPerSecond: numberOrMinusOne("Announced rate limit for all instances in requests per second; -1 for none.", -1),
             shareGapMs: number("Time between two requests by this instance's share of the rate limit.", 0, "ms"),
             shareInMs: number("Time until this instance's share permits another request.", 0, "ms"),
             oldestInFlightMs: number("Age of the oldest request in flight.", 0, "ms"),
--- a/packages/fleet/src/distribution-roles.ts
+++ b/packages/fleet/src/distribution-roles.ts
@@ -111,8 +111,8 @@
     backOff({ instance }: Member): boolean {
         const { clock, times } = this.options;
         const wasDistributor = [...this.readers, ...this.relays].some(distributor => distributor.instance === instance);
-        const before = this.backedOff.get(instance);
-        const durationMs = before === undefined ? times.peerBackoffMs : Math.min(maximumPeerBackoffMs, before.durationMs * 2);
+        const previous = this.backedOff.get(instance);
+        const durationMs = previous === undefined ? times.peerBackoffMs : Math.min(maximumPeerBackoffMs, previous.durationMs * 2);
         this.backedOff.set(instance, { untilMs: clock.nowMs() + durationMs, durationMs });
         this.cached = undefined;
         return wasDistributor;
--- a/packages/fleet/src/exchange-call.ts
+++ b/packages/fleet/src/exchange-call.ts
@@ -22,7 +22,7 @@
 export interface ExchangeResult {
     /** Id of the other instance. */
     readonly instance: string;
-    /** Staleness of the other instance's state in milliseconds; infinite if unconfirmed or if this instance lacks changes of it. */
+    /** Staleness of the other instance's state in milliseconds; infinite if unconfirmed or if this instance lacks its changes. */
     readonly stalenessMs: number;
 }
 
--- a/packages/fleet/src/exchange.ts
+++ b/packages/fleet/src/exchange.ts
@@ -96,8 +96,8 @@
         if (request.role !== Role.UNSPECIFIED) {
             roles.recordRoleRequest(request.role);
         }
-        const waits = request.waitMs > 0 && !this.isBehind(request) && !this.lacksQuarantine(requester, request.withheld);
-        const heldMs = waits ? await stalenessTracker.waitForChange(Math.min(request.waitMs, maximumLongPollMs)) : 0;
+        const mayWait = request.waitMs > 0 && !this.isBehind(request) && !this.lacksQuarantine(requester, request.withheld);
+        const heldMs = mayWait ? await stalenessTracker.waitForChange(Math.min(request.waitMs, maximumLongPollMs)) : 0;
         const updates = members.updatesSince(request.heard, requester);
         return create(ExchangeResponseSchema, {
             sender: members.self,
--- a/packages/fleet/src/member-assignment.ts
+++ b/packages/fleet/src/member-assignment.ts
@@ -33,7 +33,7 @@
  */
 export class MemberAssignment {
     private readonly cache = new Map<string, number>();
-    private version = -1;
+    private cachedVersion = -1;
     private cachedSize: number | undefined;
 
     /** @param options - Members and times. */
@@ -91,8 +91,8 @@
 
     private clearOutdated(): void {
         const { version } = this.options.members;
-        if (this.version !== version || this.cache.size > maximumCacheEntries) {
-            this.version = version;
+        if (this.cachedVersion !== version || this.cache.size > maximumCacheEntries) {
+            this.cachedVersion = version;
             this.cache.clear();
             this.cachedSize = undefined;
         }
--- a/packages/fleet/src/members.ts
+++ b/packages/fleet/src/members.ts
@@ -49,7 +49,7 @@
     private localMember: Member;
     private lastHeartbeatAtMs = -Infinity;
     private lastSequence = 0n;
-    private changes = 0;
+    private changeCount = 0;
 
     /** @param options - Clock, this instance and times. */
     constructor(private readonly options: MembersOptions) {
@@ -63,13 +63,13 @@
 
     /** Version of the membership; increases with every change other than a heartbeat. */
     get version(): number {
-        return this.changes;
+        return this.changeCount;
     }
 
     /** Changes the membership record of this instance. */
     updateSelf(change: Partial<Pick<Member, "leaving" | "platformReachable" | "port">>): void {
         this.localMember = create(MemberSchema, { ...this.localMember, ...change, heartbeat: this.localMember.heartbeat + 1n });
-        this.changes += Object.keys(change).length;
+        this.changeCount += Object.keys(change).length;
     }
 
     /** Advances the heartbeat of this instance if its interval has passed. */
@@ -93,7 +93,7 @@
             const current = this.records.get(member.instance);
             const isOther = member.instance !== this.localMember.instance && member.instance !== "";
             if (isOther && (current === undefined || isNewer(member, current.member))) {
-                this.changes += current === undefined || isChanged(member, current.member) ? 1 : 0;
+                this.changeCount += current === undefined || isChanged(member, current.member) ? 1 : 0;
                 this.put({ member, updatedAtMs, sequence: this.nextSequence(), sender });
             }
         });
@@ -165,7 +165,7 @@
         expired.forEach(({ member }) => this.records.delete(member.instance));
         if (expired.length > 0) {
             this.cachedOthers = undefined;
-            this.changes += 1;
+            this.changeCount += 1;
         }
     }
 
--- a/packages/fleet/src/peer-calls.ts
+++ b/packages/fleet/src/peer-calls.ts
@@ -31,7 +31,7 @@
 
 /** Exchanges state with other instances. */
 export class PeerCalls {
-    private polls = 0;
+    private longPolls = 0;
     /** When a reader or relay last responded with stale state. */
     private staleResponseAtMs = -Infinity;
 
@@ -81,7 +81,7 @@
 
     /** Counts a long poll; returns whether it omits older gossip. */
     private isDeltaPoll(): boolean {
-        this.polls += 1;
-        return this.polls % pollsPerFullExchange !== 0;
+        this.longPolls += 1;
+        return this.longPolls % pollsPerFullExchange !== 0;
     }
 }
--- a/packages/fleet/src/seeds.ts
+++ b/packages/fleet/src/seeds.ts
@@ -37,15 +37,15 @@
 
     /** Replaces the seeds. */
     replace(addresses: readonly PeerAddress[]): void {
-        this.isSeed = addresses.some(address => isSame(address, this.options.self));
-        this.addresses = addresses.filter(address => !isSame(address, this.options.self));
+        this.isSeed = addresses.some(address => isSameAddress(address, this.options.self));
+        this.addresses = addresses.filter(address => !isSameAddress(address, this.options.self));
     }
 
     /** Returns a random seed that is none of the given instances; `undefined` if there is none. */
     pickExcept(excluded: readonly PeerAddress[]): PeerAddress | undefined {
-        const candidates = this.addresses.filter(address => !excluded.some(other => isSame(address, other)));
+        const candidates = this.addresses.filter(address => !excluded.some(other => isSameAddress(address, other)));
         return candidates[Math.floor(this.options.random.next() * candidates.length)];
     }
 }
 
-const isSame = (a: PeerAddress, b: PeerAddress): boolean => a.address === b.address && a.port === b.port;
+const isSameAddress = (a: PeerAddress, b: PeerAddress): boolean => a.address === b.address && a.port === b.port;
--- a/packages/fleet/test/drain-gossip.test.ts
+++ b/packages/fleet/test/drain-gossip.test.ts
@@ -26,7 +26,7 @@
     readonly seed: number;
 }
 
-interface Spread {
+interface GossipResult {
     readonly messages: number;
     /** Number of times that an instance recorded the message as new. */
     readonly recordedAsNew: number;
@@ -36,7 +36,9 @@
 }
 
 /** Simulates gossip of one message: each instance that records it as new forwards it over its links. */
-const spread = async ({ instances, observers, latencyMs, dropShare, repeatShare, seed }: Model): Promise<Spread> => {
+const simulateGossip = async (
+    { instances, observers, latencyMs, dropShare, repeatShare, seed }: Model,
+): Promise<GossipResult> => {
     const clock = new FakeClock();
     const random = new SeededRandom(seed);
     const counts = { messages: 0, recordedAsNew: 0, lastRecordedAtMs: 0 };
@@ -95,7 +97,7 @@
     ];
     cases.forEach(({ observers, latencyMs }) => {
         test(`observed by ${observers} of 19 instances is sent once per link at most, latency ${latencyMs} ms`, async () => {
-            const { messages, recordedAsNew } = await spread({
+            const { messages, recordedAsNew } = await simulateGossip({
                 instances: 19,
                 observers,
                 latencyMs,
@@ -119,7 +121,7 @@
         });
         await fc.assert(
             fc.asyncProperty(model, async options => {
-                const { messages, recordedAsNew, recorded } = await spread(options);
+                const { messages, recordedAsNew, recorded } = await simulateGossip(options);
                 assert.ok(messages <= options.instances * linksPerInstance * 2, `${messages} messages`);
                 assert.ok(recordedAsNew <= options.instances, `${recordedAsNew} times recorded as new`);
                 assert.ok(options.dropShare > 0 || recorded === options.instances, `${recorded} instances have recorded it`);
--- a/packages/fleet/test/fake-fleet.ts
+++ b/packages/fleet/test/fake-fleet.ts
@@ -134,7 +134,7 @@
             drainMessages,
             apply,
         };
-        const never = (): never => {
+        const failUnused = (): never => {
             throw new TypeError("not used");
         };
         this.services.set(
@@ -142,8 +142,8 @@
             peerService({
                 fleetName: "test",
                 fleet,
-                explain: never,
-                status: never,
+                explain: failUnused,
+                status: failUnused,
                 onRejected: () => undefined,
             }),
         );
--- a/packages/fleet/test/zones.test.ts
+++ b/packages/fleet/test/zones.test.ts
@@ -17,8 +17,8 @@
 import { discoveredUpstream } from "./discovered-upstream.js";
 import { FakeFleet } from "./fake-fleet.js";
 
-const out = (availabilityZone: string, revision: number): ZoneStatus => ({ availabilityZone, revision, isOut: true });
-const back = (availabilityZone: string, revision: number): ZoneStatus => ({ availabilityZone, revision, isOut: false });
+const takenOut = (availabilityZone: string, revision: number): ZoneStatus => ({ availabilityZone, revision, isOut: true });
+const putBack = (availabilityZone: string, revision: number): ZoneStatus => ({ availabilityZone, revision, isOut: false });
 
 interface Case {
     readonly name: string;
@@ -31,43 +31,43 @@
 }
 
 const cases: readonly Case[] = [
-    { name: "one is taken out of service", updates: [{ revision: 5, zones: [out("a", 5)] }], out: "a" },
+    { name: "one is taken out of service", updates: [{ revision: 5, zones: [takenOut("a", 5)] }], out: "a" },
     {
         name: "one is put back",
-        updates: [{ revision: 5, zones: [out("a", 5)] }, { revision: 6, zones: [back("a", 6)] }],
+        updates: [{ revision: 5, zones: [takenOut("a", 5)] }, { revision: 6, zones: [putBack("a", 6)] }],
         out: "",
     },
     {
         name: "the return arrives before the outage",
-        updates: [{ revision: 6, zones: [back("a", 6)] }, { revision: 5, zones: [out("a", 5)] }],
+        updates: [{ revision: 6, zones: [putBack("a", 6)] }, { revision: 5, zones: [takenOut("a", 5)] }],
         out: "",
     },
     {
         name: "the same zone is taken out again at once",
-        updates: [{ revision: 7, zones: [out("a", 5), back("a", 6), out("a", 7)] }],
+        updates: [{ revision: 7, zones: [takenOut("a", 5), putBack("a", 6), takenOut("a", 7)] }],
         out: "a",
     },
     {
         name: "its return never arrives, and a snapshot lacks the zone",
-        updates: [{ revision: 5, zones: [out("a", 5)] }, { revision: 8, isSnapshot: true, zones: [out("b", 8)] }],
+        updates: [{ revision: 5, zones: [takenOut("a", 5)] }, { revision: 8, isSnapshot: true, zones: [takenOut("b", 8)] }],
         out: "b",
     },
     {
         name: "a snapshot from before the outage lacks the zone",
-        updates: [{ revision: 9, zones: [out("a", 9)] }, { revision: 8, isSnapshot: true, zones: [] }],
+        updates: [{ revision: 9, zones: [takenOut("a", 9)] }, { revision: 8, isSnapshot: true, zones: [] }],
         out: "a",
     },
     {
         name: "a late message of the outage follows a snapshot without it",
-        updates: [{ revision: 5, zones: [out("a", 5)] }, { revision: 8, isSnapshot: true, zones: [] }, {
+        updates: [{ revision: 5, zones: [takenOut("a", 5)] }, { revision: 8, isSnapshot: true, zones: [] }, {
             revision: 5,
-            zones: [out("a", 5)],
+            zones: [takenOut("a", 5)],
         }],
         out: "",
     },
     {
         name: "two are out and one returns",
-        updates: [{ revision: 7, zones: [out("a", 5), out("b", 6), back("a", 7)] }],
+        updates: [{ revision: 7, zones: [takenOut("a", 5), takenOut("b", 6), putBack("a", 7)] }],
         out: "b",
     },
 ];
@@ -136,18 +136,18 @@
         zones,
     });
     directory.merge({ ...updates(3, []), isSnapshot: true, entries: [entry("u1", 1, "a"), entry("u2", 2, "b")] });
-    directory.merge(updates(4, [out("a", 4)]));
+    directory.merge(updates(4, [takenOut("a", 4)]));
     assert.deepEqual([inService(), directory.upstreams.length], ["u2", 2]);
-    directory.merge(updates(5, [back("a", 5)]));
+    directory.merge(updates(5, [putBack("a", 5)]));
     assert.equal(inService(), "u1 u2");
 });
 
 test("the zones in the update from one directory, a snapshot or a delta, bring another one to the same state", () => {
     const [first, second, third] = [openDirectory(), openDirectory(), openDirectory()];
     const merge = (directory: UpstreamDirectory, updates: DirectoryUpdate): void => directory.merge(updates);
-    merge(first, { revision: 3, isSnapshot: true, entries: [entry("u1", 1, "a")], zones: [out("a", 2)] });
+    merge(first, { revision: 3, isSnapshot: true, entries: [entry("u1", 1, "a")], zones: [takenOut("a", 2)] });
     merge(second, first.updatesSince(0));
-    merge(first, { revision: 6, isSnapshot: false, entries: [], zones: [back("a", 5), out("b", 6)] });
+    merge(first, { revision: 6, isSnapshot: false, entries: [], zones: [putBack("a", 5), takenOut("b", 6)] });
     merge(second, first.updatesSince(second.revision));
     merge(third, first.updatesSince(0));
     assert.deepEqual([second.zonesOutOfService, third.zonesOutOfService], [["b"], ["b"]]);
@@ -165,6 +165,6 @@
         await fleet.clock.advance(1000);
         return fleet.running.filter(node => node.directory.zonesOutOfService.includes("zone-1") === zone.isOut).length;
     };
-    assert.equal(await publish(out("zone-1", 4)), 95);
-    assert.equal(await publish(back("zone-1", 5)), 95);
+    assert.equal(await publish(takenOut("zone-1", 4)), 95);
+    assert.equal(await publish(putBack("zone-1", 5)), 95);
 });
--- a/packages/published/src/fleet-times.ts
+++ b/packages/published/src/fleet-times.ts
@@ -90,8 +90,8 @@
 const secondMs = 1000;
 
 /**
- * Returns the interval between two heartbeats of an instance, in milliseconds. It grows with the fleet, because every heartbeat reaches
- * every instance.
+ * Returns the interval between two heartbeats of an instance, in milliseconds. It grows with the fleet, because every
+ * heartbeat reaches every instance.
  *
  * @param members - Number of members of the fleet.
  */
--- a/packages/standin/src/bench-decision-time.ts
+++ b/packages/standin/src/bench-decision-time.ts
@@ -14,7 +14,7 @@
 const candidateCounts = [10, 20, 100, 1000];
 
 /** Measures the time of a decision with each chooser and writes one line per number of candidates. */
-export const reportDecisions = (write: (text: string) => void): void => {
+export const reportDecisionTimes = (write: (text: string) => void): void => {
     write("Time of a decision (microseconds, mean of 20,000 after warm-up)");
     candidateCounts.forEach(count => {
         const cells = [...chooserNames.map(chooser => ({ chooser, rank: "" })), {
--- a/packages/standin/src/bench.ts
+++ b/packages/standin/src/bench.ts
@@ -10,7 +10,7 @@
 import { join } from "node:path";
 import { request } from "undici";
 import { benchConfiguration, rankExpression } from "./bench-configuration.js";
-import { reportDecisions } from "./bench-decision-time.js";
+import { reportDecisionTimes } from "./bench-decision-time.js";
 import { reportRecordMemory } from "./bench-memory.js";
 import { type Child, programs, startChild } from "./child.js";
 import { closedLoop, type LoadResult, openLoop, percentileMs } from "./load-generator.js";
@@ -56,7 +56,7 @@
             metrics,
         );
         await reportMemory(`http://127.0.0.1:${callers}/read`, metrics);
-        reportDecisions(write);
+        reportDecisionTimes(write);
         reportRecordMemory(write);
     }
     finally {
--- a/packages/standin/test/quarantine.test.ts
+++ b/packages/standin/test/quarantine.test.ts
@@ -84,11 +84,11 @@
 
 test("other requests of its caller, and other callers of its path, are not quarantined", async () => {
     const before = crashCount();
-    const same = await sendRequest(1, "/read/good?page=2");
-    const others = await sendRequest(1, "/read/bad?page=2", "127.0.0.2");
-    assert.equal(same.status, 200);
+    const sameCaller = await sendRequest(1, "/read/good?page=2");
+    const otherCaller = await sendRequest(1, "/read/bad?page=2", "127.0.0.2");
+    assert.equal(sameCaller.status, 200);
     // The request of the other caller crashes upstreams, too; only its own repeats quarantine it.
-    assert.equal(others.status, 502);
+    assert.equal(otherCaller.status, 502);
     assert.ok(crashCount() > before);
 });
 
