--- a/packages/fleet/src/peer-calls.ts
+++ b/packages/fleet/src/peer-calls.ts
@@ -26,12 +26,12 @@
     readonly onFailure: (peer: PeerAddress, error: Error) => void;
 }
 
-/** One of this many long polls carries all pending gossip; new gossip is sent by a separate exchange anyway. */
+/** One of this many long polls carries all pending gossip; the others omit it, because a separate exchange sends new gossip. */
 const pollsPerFullExchange = 3;
 
 /** Exchanges state with other instances. */
 export class PeerCalls {
-    private polls = 0;
+    private longPolls = 0;
     /** When a reader or relay last responded with stale state. */
     private staleResponseAtMs = -Infinity;
 
@@ -79,9 +79,9 @@
         }
     }
 
-    /** Counts a long poll; returns whether it carries recent changes only. */
+    /** Counts a long poll; returns whether it omits older gossip. */
     private isDeltaPoll(): boolean {
-        this.polls += 1;
-        return this.polls % pollsPerFullExchange !== 0;
+        this.longPolls += 1;
+        return this.longPolls % pollsPerFullExchange !== 0;
     }
 }
