--- a/packages/decision/src/crash-record.ts
+++ b/packages/decision/src/crash-record.ts
@@ -13,7 +13,7 @@
     /** Key of the request. */
     readonly key: RequestKey;
     readonly upstream: string;
-    /** When the upstream crashed, on this instance's clock; the delay of gossip is ignored. Determines when the record expires. */
+    /** When the upstream crashed, on this instance's clock; ignores the delay of gossip. Determines when the record expires. */
     readonly endedAtMs: number;
     /**
      * The same on the wall clock of the instance that recorded it, in milliseconds since the Unix epoch. Detection uses this
--- a/packages/decision/src/poison-detection.ts
+++ b/packages/decision/src/poison-detection.ts
@@ -2,8 +2,8 @@
  * Detection of requests that crash the upstreams that process them.
  *
  * When an upstream crashes, all its requests are lost, but at most one is the cause. A request is considered the cause after
- * three upstreams crashed one after the other while processing it, without one response. Crashes that another request explains
- * do not count.
+ * three upstreams crashed one after the other while processing it, if it has received no response since. Crashes that another
+ * request explains do not count.
  *
  * If the retries differ in caller, query or body, the attributes that they share identify them, provided that no request with
  * the same attributes has succeeded.
--- a/packages/decision/src/upstream-limits.ts
+++ b/packages/decision/src/upstream-limits.ts
@@ -17,8 +17,8 @@
     /** When this limit was first announced, in milliseconds since the Unix epoch. */
     readonly sinceUnixMs: number;
     /**
-     * Position in the order of notices: the wall clock of the receiving instance, and later than every notice that it had
-     * stored.
+     * Position in the order of notices: wall-clock time of the receiving instance, increased if necessary so that it is later
+     * than the notice that was stored before.
      */
     readonly saidAtUnixMs: number;
     /** Id of the instance that received it from the upstream. */
--- a/packages/decision/test/cold-admission.test.ts
+++ b/packages/decision/test/cold-admission.test.ts
@@ -205,7 +205,7 @@
     return Math.max(...arrivals.map(atMs => arrivals.filter(other => other >= atMs && other < atMs + 1000).length));
 };
 
-test("three participants send at most three requests in any second, and three separate parts of the fleet at most nine", async () => {
+test("three participants send at most three requests in any second, and three parts of a fleet at most nine", async () => {
     assert.equal(await mostInASecond([3]), 3);
     assert.ok(await mostInASecond([3, 3, 3]) <= 9);
 });
--- a/packages/decision/test/crash-history.test.ts
+++ b/packages/decision/test/crash-history.test.ts
@@ -205,7 +205,7 @@
         assert.equal(history.recentEntries([], true).length, 3);
     });
 
-    test("removes suspects after ten minutes and quarantines after an hour, and does not accept expired records from peers", async () => {
+    test("removes suspects after ten minutes and quarantines after an hour, and ignores expired records of peers", async () => {
         const clock = new FakeClock();
         const history = new CrashHistory({ clock });
         const three = [crashed(bad, "u1", 0), crashed(bad, "u2", 100), crashed(bad, "u3", 200)];
--- a/packages/decision/test/limit-admission.test.ts
+++ b/packages/decision/test/limit-admission.test.ts
@@ -104,7 +104,7 @@
     assert.ok((admission.paceOf(incarnation)?.waitMs ?? 0) > 30_000);
 });
 
-describe("for any limit and fleet, all participants together stay below one and a half times the limit plus five requests in four seconds", () => {
+describe("for any limit and fleet, the participants send at most one and a half times the limit, plus five requests", () => {
     [0, 0.04, 0.3, 1, 3.6, 20, 150, 900].forEach(perSecond =>
         [3, 13, 95, 300].forEach(members => {
             test(`${perSecond} a second, ${members} instances, after any pause`, async () => {
--- a/packages/decision/test/service-load-model.test.ts
+++ b/packages/decision/test/service-load-model.test.ts
@@ -65,7 +65,7 @@
 });
 
 describe("the decay time of a slowdown", () => {
-    /** Returns the decay time after reports of ten upstreams every 20 ms, whose slowdowns change at random at a fixed interval. */
+    /** Returns the decay time after reports of ten upstreams every 20 ms, whose slowdowns change randomly at an interval. */
     const decayMs = (changeIntervalMs: number): number => {
         const random = new SeededRandom(7);
         const last: (ReportedLoad | undefined)[] = Array.from({ length: 10 }, () => undefined);
