--- a/packages/command/src/explanation-text.ts
+++ b/packages/command/src/explanation-text.ts
@@ -7,7 +7,6 @@
 import type { Attempt, Candidate, Explanation, Step } from "@harrierhitch/protocol";
 import { formatCount, formatMs, paint, table } from "./output.js";
 
-/** Formats an explanation as text. */
 export const formatExplanation = (explanation: Explanation, instance: string): string =>
     [
         ...headerLines(explanation, instance),
--- a/packages/configuration/src/key.ts
+++ b/packages/configuration/src/key.ts
@@ -13,7 +13,6 @@
 
 /** Description of a key for the reference documentation. */
 export interface KeyDescription {
-    /** Purpose of the key. */
     readonly description: string;
     /** Description of the valid values. */
     readonly expected: string;
@@ -28,7 +27,6 @@
 /** Key descriptions by schema. */
 export const keyDescriptions = z.registry<KeyDescription>();
 
-/** Options of every key. */
 export interface KeyOptions<Value> {
     /** Purpose of the key, ending with a full stop. */
     readonly description: string;
@@ -36,7 +34,6 @@
     readonly defaultValue?: Value;
 }
 
-/** Options of a number key. */
 export interface NumberKeyOptions extends KeyOptions<number> {
     readonly minimum: number;
     readonly maximum: number;
@@ -77,7 +74,7 @@
 const range = (options: NumberKeyOptions): string =>
     `from ${options.minimum} to ${options.maximum}${options.unit === undefined ? "" : ` (${options.unit})`}`;
 
-/** Key for an integer. */
+/** Key for a whole number from `minimum` to `maximum`, without a sign. */
 export const integerKey = (options: NumberKeyOptions) =>
     key(numberParser(options, /^\d+$/), `a whole number ${range(options)}`, options, options.unit);
 
--- a/packages/configuration/src/policy-schema.ts
+++ b/packages/configuration/src/policy-schema.ts
@@ -19,7 +19,6 @@
     "random",
 ] as const;
 
-/** Name of a chooser. */
 export type ChooserName = typeof chooserNames[number];
 
 /** Schema of sections whose names are set by the operator, for example `[policy.main]`. */
--- a/packages/daemon/src/operators/http-handlers.ts
+++ b/packages/daemon/src/operators/http-handlers.ts
@@ -46,7 +46,6 @@
         }
     };
 
-/** Responds with 404. */
 export const respondNotFound = (_: IncomingMessage, response: ServerResponse): void => {
     respondText(response, 404, "not found\n");
 };
--- a/packages/daemon/src/peers/tls-files.ts
+++ b/packages/daemon/src/peers/tls-files.ts
@@ -13,7 +13,6 @@
     readonly authorityFile: string | undefined;
 }
 
-/** Contents of the TLS files. */
 export interface TlsContents {
     readonly cert: Buffer;
     readonly key: Buffer;
--- a/packages/daemon/src/platform/http-get.ts
+++ b/packages/daemon/src/platform/http-get.ts
@@ -23,7 +23,6 @@
     constructor(readonly options: HttpClientOptions) {}
 }
 
-/** A GET request. */
 export interface HttpGetRequest {
     readonly url: string;
     readonly headers?: Readonly<Record<string, string>>;
--- a/packages/daemon/src/platform/platform-watcher.ts
+++ b/packages/daemon/src/platform/platform-watcher.ts
@@ -59,12 +59,10 @@
         return this.respondedAtMs === undefined ? -1 : this.options.clock.nowMs() - this.respondedAtMs;
     }
 
-    /** Starts watching. */
     start(): void {
         void this.run();
     }
 
-    /** Stops watching. */
     stop(): void {
         this.stopping.abort();
     }
--- a/packages/daemon/src/platform/platform.ts
+++ b/packages/daemon/src/platform/platform.ts
@@ -55,7 +55,6 @@
     override readonly code = "history-lost";
 }
 
-/** Options for opening a platform. */
 export interface PlatformOptions {
     /** Addresses as `IP:port`, tried in order. */
     readonly addresses: readonly string[];
@@ -67,7 +66,6 @@
     readonly onInvalidItem: (key: string, revision: number | undefined, detail: string) => void;
 }
 
-/** Options of a document parser. */
 export interface DocumentParserOptions {
     /** Policies that any configuration can refer to by name. */
     readonly policies: ReadonlyMap<string, ServicePolicy>;
@@ -75,17 +73,13 @@
 
 /** Parses published documents. Results depend only on the text, so all instances agree on them. */
 export interface DocumentParser {
-    /** Parses and validates a configuration. */
     parseConfiguration(source: string, text: string): CheckResult<Configuration>;
-    /** Parses and validates a discovered upstream. */
     parseUpstream(id: UpstreamId, text: string): CheckResult<DiscoveredUpstream>;
 }
 
 /** Everything that is specific to a platform. */
 export interface PlatformAdapter {
-    /** Opens a connection to the platform. */
     open(options: PlatformOptions): Platform;
-    /** Creates the parser of its documents. */
     createParser(options: DocumentParserOptions): DocumentParser;
     /** Headers that callers and upstreams use. */
     readonly headerProtocol: HeaderProtocol;
--- a/packages/daemon/src/request/admission-interval.ts
+++ b/packages/daemon/src/request/admission-interval.ts
@@ -14,7 +14,6 @@
 export class AdmissionInterval {
     private admittedAtMs: readonly number[] = [];
 
-    /** Records an admission. */
     record(atMs: number): void {
         this.admittedAtMs = [...this.admittedAtMs, atMs].slice(-sampleCount);
     }
--- a/packages/daemon/src/request/announced-limit.ts
+++ b/packages/daemon/src/request/announced-limit.ts
@@ -7,7 +7,6 @@
 /** The rate limit that a response announces, for all instances together. */
 export type ParsedLimit =
     | {
-        /** The response announces no limit. */
         readonly type: "none";
     }
     | {
--- a/packages/daemon/src/request/attempt-task.ts
+++ b/packages/daemon/src/request/attempt-task.ts
@@ -36,14 +36,12 @@
     readonly mayStream: (response: ParsedResponse) => boolean;
 }
 
-/** Result of an attempt. */
 export interface AttemptReport {
     readonly task: AttemptTask;
     readonly result: AttemptResult;
     readonly outcome: Outcome;
     /** The response head; `undefined` if none was received. */
     readonly response: ParsedResponse | undefined;
-    /** Whether the complete response was received. */
     readonly isComplete: boolean;
     /** The complete response, if it was buffered. */
     readonly buffered: BufferedResponse | undefined;
@@ -91,7 +89,6 @@
         this.ended = this.attempt.result.then(result => this.finish(result));
     }
 
-    /** The upstream of this attempt. */
     get upstream(): UpstreamEntry {
         return this.options.upstream;
     }
--- a/packages/daemon/src/request/caller-response.ts
+++ b/packages/daemon/src/request/caller-response.ts
@@ -68,7 +68,6 @@
         });
     }
 
-    /** Whether the head of a response was sent. */
     get headersSent(): boolean {
         return this.response.headersSent;
     }
--- a/packages/daemon/src/request/callers-server.ts
+++ b/packages/daemon/src/request/callers-server.ts
@@ -54,7 +54,6 @@
         });
     }
 
-    /** Number of requests in flight. */
     get inFlight(): number {
         return this.tasks.size;
     }
@@ -64,7 +63,7 @@
         return this.hasServedAny;
     }
 
-    /** Starts to listen; returns the port. */
+    /** Resolves to the port. */
     listen(): Promise<number> {
         return listenOn(this.server, this.options.settings);
     }
--- a/packages/daemon/src/request/crash-detector.ts
+++ b/packages/daemon/src/request/crash-detector.ts
@@ -25,7 +25,7 @@
 /** An attempt whose upstream crashed, as observed by this instance. */
 export interface ObservedCrash {
     readonly request: RequestId;
-    /** Number of the attempt, from 1. */
+    /** Counts from 1. */
     readonly attempt: number;
     readonly key: RequestKey;
     readonly upstream: UpstreamId;
--- a/packages/daemon/src/request/create-request-services.ts
+++ b/packages/daemon/src/request/create-request-services.ts
@@ -27,7 +27,6 @@
     readonly telemetry: Telemetry;
 }
 
-/** Creates the shared services for requests. */
 export const createRequestServices = (options: CreateRequestServicesOptions): RequestServices => {
     const { parts, instance, incarnation, explanations, crashes, probeBudget, telemetry } = options;
     const { settings, clock, random, transport, headerProtocol, log, metrics, onTraced } = parts;
--- a/packages/daemon/src/request/decision-record.ts
+++ b/packages/daemon/src/request/decision-record.ts
@@ -14,7 +14,6 @@
 export interface DecisionStep {
     /** Milliseconds since arrival. */
     readonly atMs: number;
-    /** Duration of the decision in milliseconds. */
     readonly durationMs: number;
     readonly input: DecisionInput;
     readonly decision: Decision;
@@ -25,7 +24,6 @@
 /** An attempt; its result is set when it has ended. */
 export interface AttemptRecord {
     readonly upstream: UpstreamId;
-    /** Span ID of the attempt. */
     readonly spanId: string;
     /** Milliseconds since arrival. */
     readonly startedMs: number;
--- a/packages/daemon/src/request/header-protocol.ts
+++ b/packages/daemon/src/request/header-protocol.ts
@@ -40,7 +40,6 @@
     readonly slowness?: number | undefined;
 }
 
-/** The parsed head of a response. */
 export interface ParsedResponse {
     /** Why this is not the upstream's response to this request; `undefined` if it is. */
     readonly mismatch: string | undefined;
@@ -69,8 +68,6 @@
     readRequestMetadata(request: IncomingMessage, configuration: Configuration, kind: RequestKind): RequestMetadata;
     /** Returns the headers, in lower case, that are set on an attempt's request; `undefined` removes one. */
     attemptHeaders(attempt: OutgoingAttempt): Readonly<Record<string, string | undefined>>;
-    /** Formats the value of `Retry-After`. */
     formatRetryAfter(delayMs: number): string;
-    /** Parses the head of a response. */
     readResponseHead(head: ResponseHead): ParsedResponse;
 }
--- a/packages/daemon/src/request/hold-queue.ts
+++ b/packages/daemon/src/request/hold-queue.ts
@@ -21,7 +21,6 @@
     readonly arrivedAtMs: number;
 }
 
-/** A request in the queue. */
 export interface QueuedRequest extends QueuePosition {
     /** Time at which the request is decided again in any case. */
     readonly untilMs: number;
@@ -53,7 +52,6 @@
     /** @param clock - The clock for time limits. */
     constructor(private readonly clock: Clock) {}
 
-    /** Number of queued requests. */
     get length(): number {
         return this.entries.size;
     }
--- a/packages/daemon/src/request/latency-budget.ts
+++ b/packages/daemon/src/request/latency-budget.ts
@@ -59,7 +59,6 @@
         return targetLatencyMs > 0 ? this.targetLeftMs - p90Ms : 0;
     }
 
-    /** Position among the queued requests. */
     get queuePosition(): QueuePosition {
         const { route, metadata, deadlineAtMs } = this.options;
         const { weight, targetLatencyMs } = route.kind;
--- a/packages/daemon/src/request/mailbox.ts
+++ b/packages/daemon/src/request/mailbox.ts
@@ -9,7 +9,6 @@
     private readonly messages: Message[] = [];
     private wake: (() => void) | undefined;
 
-    /** Adds a message. */
     post(message: Message): void {
         this.messages.push(message);
         this.wake?.();
--- a/packages/daemon/src/request/problem.ts
+++ b/packages/daemon/src/request/problem.ts
@@ -29,7 +29,6 @@
 /** Kind of a problem; the last part of its type URN. */
 export type ProblemKind = keyof typeof problemKinds;
 
-/** One problem. */
 export interface Problem {
     readonly kind: ProblemKind;
     /** Human-readable description. */
@@ -43,7 +42,6 @@
 /** Header with the outcome of the request: whether it ran. */
 export const outcomeHeader = "x-request-outcome";
 
-/** Returns the body of a problem response as an object. */
 export const problemBody = (problem: Problem, id: RequestId | undefined) => ({
     type: `urn:harrierhitch:problem:${problem.kind}`,
     title: problemKinds[problem.kind].title,
@@ -53,7 +51,6 @@
     ...(id === undefined ? {} : { instance: `urn:harrierhitch:request:${id}` }),
 });
 
-/** Returns the headers of a problem response. */
 export const problemHeaders = (problem: Problem, bodyBytes: number): Record<string, string | number> => ({
     "content-type": "application/problem+json",
     "content-length": bodyBytes,
--- a/packages/daemon/src/request/quarantine-trials.ts
+++ b/packages/daemon/src/request/quarantine-trials.ts
@@ -11,13 +11,11 @@
 export interface QuarantineTrialsOptions {
     /** Whether a trial of a signature is due and belongs to this instance. */
     readonly isTrialDue: (signature: RequestSignature) => boolean;
-    /** Called when a request becomes a trial. */
     readonly onTrial: (request: RequestId, signatures: readonly RequestSignature[]) => void;
 }
 
 /** Admits one request for each quarantined signature; a trial that may have run is not repeated, whatever its result. */
 export class QuarantineTrials {
-    /** The trial of each signature. */
     private readonly trialRequests = new Map<RequestSignature, RequestId>();
     /** Trials that are not completed. */
     private readonly activeTrials = new Set<RequestId>();
--- a/packages/daemon/src/request/record-service-time.ts
+++ b/packages/daemon/src/request/record-service-time.ts
@@ -11,7 +11,6 @@
 /** Service time of one attempt. */
 export interface ServiceTimeSample {
     readonly runtime: ServiceRuntime;
-    /** Name of the request's kind. */
     readonly kind: string;
     /** Facts about the upstream when it was selected. */
     readonly selectionFacts: UpstreamFacts | undefined;
--- a/packages/daemon/src/request/request-body.ts
+++ b/packages/daemon/src/request/request-body.ts
@@ -37,9 +37,7 @@
     open(): Buffer | Readable | undefined;
 }
 
-/** Limits of bodies. */
 export interface BodyLimits {
-    /** Maximum size of a body. */
     readonly maximumBytes: number;
     /** Maximum size of a body that is buffered so that it can be sent again. */
     readonly replayBytes: number;
@@ -47,7 +45,6 @@
 
 const emptyBody: RequestBody = { canReplay: true, buffered: undefined, open: () => undefined };
 
-/** Whether a request has a body. */
 export const hasBody = (request: IncomingMessage): boolean =>
     request.headers["transfer-encoding"] !== undefined || Number(request.headers["content-length"] ?? 0) > 0;
 
--- a/packages/daemon/src/request/request-dispatcher.ts
+++ b/packages/daemon/src/request/request-dispatcher.ts
@@ -21,7 +21,6 @@
 export interface RequestDispatcherOptions {
     readonly services: RequestServices;
     readonly activeConfiguration: ActiveConfiguration;
-    /** State of all services. */
     readonly registry: ServiceRegistry;
     readonly telemetry: Telemetry;
     /** Random samples that spread requests over the destinations of a route. */
--- a/packages/daemon/src/request/request-id.ts
+++ b/packages/daemon/src/request/request-id.ts
@@ -19,7 +19,6 @@
         this.prefix = `${instance}.${incarnation.toString(36)}.`;
     }
 
-    /** Returns the next ID. */
     next(): RequestId {
         this.count += 1;
         return requestId(this.prefix + this.count.toString(36));
--- a/packages/daemon/src/request/request-services.ts
+++ b/packages/daemon/src/request/request-services.ts
@@ -17,7 +17,6 @@
 import type { RequestIds } from "./request-id.js";
 import type { ReceivedNotice } from "./response-notice.js";
 
-/** Shared services for requests. */
 export interface RequestServices {
     readonly clock: Clock;
     readonly random: RandomSource;
@@ -33,12 +32,8 @@
     readonly log: EventLog;
     /** Decides whether a trace that starts here is sampled. */
     sampleTrace(): boolean;
-    /** Called with the notice of each response. */
     onNotice(notice: ReceivedNotice): void;
-    /** Called after each decision. */
     onDecision(service: ServiceName, input: DecisionInput, decision: Decision): void;
-    /** Called when an attempt has ended. */
     onAttempt(record: DecisionRecord, attempt: AttemptRecord): void;
-    /** Called when a request is finished. */
     onServed(record: DecisionRecord, sampled: boolean): void;
 }
--- a/packages/daemon/src/request/response-notice.ts
+++ b/packages/daemon/src/request/response-notice.ts
@@ -12,7 +12,6 @@
 
 /** Announcements in the head of a response; they apply whichever request it belongs to. */
 export interface ResponseNotice {
-    /** Whether the upstream is draining. */
     readonly draining: boolean;
     /** Backoff that the upstream requests from this instance, in milliseconds; `undefined` if it requests none. */
     readonly backoffMs: number | undefined;
@@ -25,7 +24,6 @@
 /** Notice of a response without announcements. */
 export const noNotice: ResponseNotice = { draining: false, backoffMs: undefined, limit: noLimit, invalidRetryAfter: undefined };
 
-/** A notice with its upstream. */
 export interface ReceivedNotice {
     readonly service: ServiceName;
     readonly upstream: UpstreamEntry;
--- a/packages/daemon/src/request/routed-request.ts
+++ b/packages/daemon/src/request/routed-request.ts
@@ -8,11 +8,9 @@
 import type { IncomingMessage } from "node:http";
 import type { CallerResponse } from "./caller-response.js";
 
-/** A routed request. */
 export interface RoutedRequest {
     /** The configuration that applies to the request until it is finished. */
     readonly configuration: Configuration;
-    /** The route that matched. */
     readonly route: Route;
     readonly request: IncomingMessage;
     readonly response: CallerResponse;
--- a/packages/daemon/src/request/send-response.ts
+++ b/packages/daemon/src/request/send-response.ts
@@ -10,7 +10,6 @@
 import type { AttemptReport } from "./attempt-task.js";
 import type { RequestProgress } from "./request-progress.js";
 
-/** Sends a buffered response to the caller. */
 export const sendResponse = (progress: RequestProgress, { buffered, outcome }: AttemptReport): void => {
     progress.record.outcome = outcome;
     progress.record.status = buffered?.status;
--- a/packages/daemon/src/request/upstream-selection.ts
+++ b/packages/daemon/src/request/upstream-selection.ts
@@ -88,7 +88,6 @@
         };
     }
 
-    /** Number of candidates that may be probed now. */
     private get probeable(): number {
         const { progress, services } = this;
         const { policy, service } = progress.route;
--- a/packages/daemon/src/upstream/instance-budgets.ts
+++ b/packages/daemon/src/upstream/instance-budgets.ts
@@ -6,7 +6,6 @@
 
 import type { Configuration, Settings } from "@harrierhitch/configuration";
 
-/** Budgets of one instance. */
 export interface InstanceBudgets {
     /** Retries earned per request. */
     readonly retryShare: number;
--- a/packages/daemon/src/upstream/prober.ts
+++ b/packages/daemon/src/upstream/prober.ts
@@ -28,7 +28,7 @@
     readonly onNotice: (notice: ReceivedNotice) => void;
 }
 
-/** Result of a probe. */
+/** `over-budget` if no probe was sent. */
 export type ProbeResult = ProbeOutcome | "over-budget";
 
 /** Result of a probe that was sent: with a load report, without one, or failed. */
--- a/packages/daemon/src/upstream/upstream-transport.ts
+++ b/packages/daemon/src/upstream/upstream-transport.ts
@@ -10,7 +10,6 @@
 import type { Readable } from "node:stream";
 import type { PortState } from "./check-port.js";
 
-/** A request to an upstream. */
 export interface UpstreamRequest {
     readonly method: string;
     /** Path including the query. */
@@ -38,7 +37,6 @@
     onData(chunk: Buffer): boolean;
 }
 
-/** An attempt in progress. */
 export interface Attempt {
     /** Fulfilled when the complete response was received or the attempt failed; never rejected. */
     readonly result: Promise<AttemptResult>;
@@ -48,9 +46,7 @@
     resume(): void;
 }
 
-/** Sends requests to upstreams. */
 export interface UpstreamTransport {
-    /** Starts an attempt. */
     send(upstream: Upstream, request: UpstreamRequest, sink: ResponseSink): Attempt;
     /** Checks whether a process listens at an upstream's address; never rejects. */
     checkPort(upstream: Upstream): Promise<PortState>;
--- a/packages/decision/src/admission.ts
+++ b/packages/decision/src/admission.ts
@@ -101,7 +101,6 @@
         }
     }
 
-    /** Whether an upstream may be selected now. */
     isEligible(tracked: TrackedUpstream, nowMs: number): boolean {
         const { upstream, inFlightRequests } = tracked;
         const estimate = atTime(tracked.estimate, nowMs);
--- a/packages/decision/src/attempt-result.ts
+++ b/packages/decision/src/attempt-result.ts
@@ -20,7 +20,6 @@
  */
 export type AttemptEnd = "answered" | "shed" | "connect-failed" | "withdrawn" | "reset" | "garbled" | "timed-out" | "cancelled";
 
-/** The result of one attempt. */
 export interface AttemptResult {
     readonly end: AttemptEnd;
     /** Status of the response; `undefined` without one. */
--- a/packages/decision/src/chooser.ts
+++ b/packages/decision/src/chooser.ts
@@ -7,9 +7,8 @@
 import type { ChooserName } from "@harrierhitch/configuration";
 import type { UpstreamFacts } from "@harrierhitch/policy";
 
-/** Input of a chooser. */
 export interface ChooserInput {
-    /** The candidates, at least one. */
+    /** At least one. */
     readonly candidates: readonly UpstreamFacts[];
     /**
      * Rank of a candidate by the policy; `undefined` when the policy has no rank. Evaluated only for candidates that are
@@ -22,9 +21,8 @@
     readonly sequence: number;
 }
 
-/** Result of a chooser. */
 export interface Selection {
-    /** Index of the selected candidate. */
+    /** Index in `candidates`. */
     readonly index: number;
     /** Scores of the candidates that were compared, by index; holes for the others. */
     readonly scores: readonly (number | undefined)[];
@@ -33,6 +31,5 @@
 /** Selects one candidate. It has no state: the same input gives the same selection. */
 export interface Chooser {
     readonly name: ChooserName;
-    /** Selects one of the candidates. */
     select(input: ChooserInput): Selection;
 }
--- a/packages/decision/src/choosers.ts
+++ b/packages/decision/src/choosers.ts
@@ -18,7 +18,6 @@
     TwoChoicesChooser,
 } from "./standard-choosers.js";
 
-/** Every chooser that a policy can name. */
 export const choosers: Readonly<Record<ChooserName, Chooser>> = {
     "adaptive": new AdaptiveChooser(),
     "expected-time": new ExpectedTimeChooser(),
--- a/packages/decision/src/cold-admission.ts
+++ b/packages/decision/src/cold-admission.ts
@@ -13,7 +13,6 @@
     readonly requestsPerSecond: number;
 }
 
-/** Admits requests to cold upstreams. */
 export interface ColdAdmission {
     /** Whether a request of this instance may go to a cold upstream now. */
     mayAdmit(upstream: ColdUpstream): boolean;
--- a/packages/decision/src/compare.ts
+++ b/packages/decision/src/compare.ts
@@ -35,7 +35,6 @@
     return { index: ties[drawIndex(input.draws[0], ties.length)] ?? indexes[0] ?? 0, scores };
 };
 
-/** Returns the indexes of all candidates. */
 export const allIndexes = (input: ChooserInput): readonly number[] => input.candidates.map((_, index) => index);
 
 /**
--- a/packages/decision/src/crash-history.ts
+++ b/packages/decision/src/crash-history.ts
@@ -66,12 +66,10 @@
     /** @param options - The clock and the listeners. */
     constructor(private readonly options: CrashHistoryOptions) {}
 
-    /** Number of stored records. */
     get size(): number {
         return this.entries.size;
     }
 
-    /** The signatures of the quarantined requests. */
     get quarantined(): readonly RequestSignature[] {
         this.removeExpired();
         return [...this.quarantines.keys()];
--- a/packages/decision/src/crash-record.ts
+++ b/packages/decision/src/crash-record.ts
@@ -10,7 +10,6 @@
 export interface CrashRecord {
     /** Identifies the attempt in the fleet: the request id and the number of the attempt. */
     readonly id: string;
-    /** Key of the request. */
     readonly key: RequestKey;
     readonly upstream: string;
     /** When the upstream crashed, on this instance's clock; ignores the delay of gossip. Determines when the record expires. */
--- a/packages/decision/src/decision.ts
+++ b/packages/decision/src/decision.ts
@@ -52,5 +52,4 @@
     readonly retryAfterMs: number;
 }
 
-/** The result of a decision. */
 export type Decision = ChooseDecision | HoldDecision | RefuseDecision;
--- a/packages/decision/src/incarnation-map.ts
+++ b/packages/decision/src/incarnation-map.ts
@@ -87,7 +87,6 @@
         [...this.entries.keys()].slice(0, Math.max(0, this.entries.size - maximumEntries)).forEach(id => this.entries.delete(id));
     }
 
-    /** Whether nothing is stored. */
     get isEmpty(): boolean {
         return this.entries.size === 0;
     }
--- a/packages/decision/src/limit-admission.ts
+++ b/packages/decision/src/limit-admission.ts
@@ -13,7 +13,6 @@
 export interface LimitShare {
     /** Whether it is one of the participants, which send within the limit. */
     readonly isParticipant: boolean;
-    /** Number of participants. */
     readonly participants: number;
     /** Number of instances in the fleet. */
     readonly members: number;
@@ -81,7 +80,6 @@
 const participantsFor = (perSecond: number): number =>
     Math.max(minimumParticipants, Math.floor(perSecond * participantsPerRequest) + 1);
 
-/** The inputs of one permit. */
 interface PermitInput {
     readonly share: LimitShare;
     readonly wanted: number;
--- a/packages/decision/src/load-prediction.ts
+++ b/packages/decision/src/load-prediction.ts
@@ -14,7 +14,6 @@
     "inFlight" | "reportedInFlight" | "reportAgeMs" | "sentSinceReport" | "slowness" | "slots"
 >;
 
-/** The predicted load. */
 export type LoadPrediction = Pick<UpstreamFacts, "expectedInFlight" | "expectedSlowness" | "crowding" | "bestInFlight">;
 
 /**
--- a/packages/decision/src/retry-budget.ts
+++ b/packages/decision/src/retry-budget.ts
@@ -45,7 +45,6 @@
         this.balance = Math.min(this.maximumBalance, this.balance + this.ratio);
     }
 
-    /** Whether the budget allows a retry. */
     canWithdraw(): boolean {
         return this.balance >= 1 - roundingError;
     }
--- a/packages/decision/src/select-candidates.ts
+++ b/packages/decision/src/select-candidates.ts
@@ -13,7 +13,6 @@
     readonly nowMs: number;
     /** Availability zone of this instance. */
     readonly availabilityZone: string;
-    /** Whether an upstream may be selected now. */
     readonly isEligible: (tracked: TrackedUpstream) => boolean;
     /** Returns random numbers of at least 0 and below 1. */
     readonly draw: () => number;
--- a/packages/decision/src/service-load-model.ts
+++ b/packages/decision/src/service-load-model.ts
@@ -131,7 +131,6 @@
     variation: previous === undefined ? model.variation : updateVariation(model, previous, report),
 });
 
-/** Returns the averages after a response. */
 export const updateFromResponse = (model: ServiceLoadModel, response: ResponseSample): ServiceLoadModel => ({
     ...model,
     residenceMs: model.residenceMs === undefined ? response.latencyMs : updateMean(model.residenceMs, response.latencyMs),
--- a/packages/decision/src/standard-choosers.ts
+++ b/packages/decision/src/standard-choosers.ts
@@ -20,7 +20,6 @@
     }
 }
 
-/** Selects a random candidate. */
 export class RandomChooser implements Chooser {
     readonly name: ChooserName = "random";
 
--- a/packages/decision/src/track-upstream.ts
+++ b/packages/decision/src/track-upstream.ts
@@ -8,7 +8,6 @@
 import { applyObservation, type EstimateOptions, initialEstimate, type UpstreamEstimate } from "./upstream-estimate.js";
 import type { UpstreamNotices } from "./upstream-notices.js";
 
-/** Options of {@link trackUpstream}. */
 export interface TrackUpstreamOptions {
     readonly estimate: EstimateOptions;
     readonly nowMs: number;
--- a/packages/decision/src/tracked-upstream.ts
+++ b/packages/decision/src/tracked-upstream.ts
@@ -12,7 +12,6 @@
 import type { ReportedLoad, ServiceLoadModel } from "./service-load-model.js";
 import type { UpstreamEstimate } from "./upstream-estimate.js";
 
-/** One request in flight to an upstream. */
 export interface InFlightRequest {
     readonly upstream: UpstreamId;
     readonly sentAtMs: number;
--- a/packages/decision/src/upstream-estimate.ts
+++ b/packages/decision/src/upstream-estimate.ts
@@ -48,7 +48,6 @@
     readonly stateAtMs: number;
     /** End of the ejection; set in the state `ejected`. */
     readonly ejectedUntilMs: number;
-    /** Consecutive ejections. */
     readonly consecutiveEjections: number;
     readonly consecutiveFailures: number;
     readonly failureRate: number;
--- a/packages/decision/src/upstream-limits.ts
+++ b/packages/decision/src/upstream-limits.ts
@@ -48,7 +48,6 @@
 /** Options of {@link UpstreamLimits}. */
 export interface UpstreamLimitsOptions {
     readonly clock: Clock;
-    /** Id of this instance. */
     readonly instance: string;
     /** Called when a limit changes, whichever instance received it. */
     readonly onChange?: (change: LimitChange) => void;
--- a/packages/decision/src/upstream-notices.ts
+++ b/packages/decision/src/upstream-notices.ts
@@ -40,7 +40,6 @@
         this.notices.put(incarnation, saidAtUnixMs, (previous = noNotices) => ({ ...previous, isDraining: true }));
     }
 
-    /** Whether an incarnation is draining. */
     isDraining(incarnation: UpstreamIncarnation): boolean {
         return this.notices.find(incarnation)?.isDraining === true;
     }
--- a/packages/decision/src/upstream-tracker-options.ts
+++ b/packages/decision/src/upstream-tracker-options.ts
@@ -20,7 +20,6 @@
     readonly estimate?: Partial<EstimateOptions>;
     /** Most upstreams that may be ejected at the same time, as a share. */
     readonly maximumEjectedShare?: number;
-    /** Called when the state of an upstream changes. */
     readonly onStateChange?: (upstream: UpstreamEntry, before: UpstreamEstimate, after: UpstreamEstimate) => void;
     /** Admits requests to cold upstreams; by default all are admitted. */
     readonly coldAdmission?: ColdAdmission;
--- a/packages/decision/src/upstream-tracker.ts
+++ b/packages/decision/src/upstream-tracker.ts
@@ -165,7 +165,7 @@
         return [...this.tracked.values()].map(tracked => tracked.upstream);
     }
 
-    /** Returns one of the upstreams. */
+    /** Returns `undefined` if the upstream is not tracked. */
     find(upstream: UpstreamId): UpstreamEntry | undefined {
         return this.tracked.get(upstream)?.upstream;
     }
@@ -207,7 +207,6 @@
         return residenceMsOf(this.loadModel);
     }
 
-    /** Number of requests in flight. */
     get inFlight(): number {
         return [...this.tracked.values()].reduce((sum, tracked) => sum + tracked.inFlightRequests.size, 0);
     }
--- a/packages/fleet/src/contact-peers.ts
+++ b/packages/fleet/src/contact-peers.ts
@@ -16,7 +16,6 @@
     readonly calls: PeerCalls;
     readonly members: Members;
     readonly seeds: Seeds;
-    /** Maximum wait in milliseconds. */
     readonly timeoutMs: number;
     /** Ends the wait. */
     readonly signal: AbortSignal;
@@ -25,7 +24,6 @@
 /** Peers that are contacted in parallel. */
 const peersPerAttempt = 4;
 
-/** Delay before the next attempt, in milliseconds. */
 const retryDelayMs = 50;
 
 /**
--- a/packages/fleet/src/distribution-roles.ts
+++ b/packages/fleet/src/distribution-roles.ts
@@ -35,7 +35,6 @@
 interface RoleAssignment {
     readonly readers: readonly Member[];
     readonly relays: readonly Member[];
-    /** The role of this instance. */
     readonly localRole: Role;
     /** Version of the membership. */
     readonly version: number;
@@ -64,7 +63,6 @@
         this.joinedAtMs = options.clock.nowMs();
     }
 
-    /** The readers of the fleet. */
     get readers(): readonly Member[] {
         return this.assignment.readers;
     }
--- a/packages/fleet/src/exchange-call.ts
+++ b/packages/fleet/src/exchange-call.ts
@@ -6,7 +6,6 @@
 
 import type { ExchangeRequest, ExchangeResponse, Role } from "@harrierhitch/protocol";
 
-/** Options of one exchange. */
 export interface ExchangeCallOptions {
     /** Maximum time in milliseconds for which the other instance may wait for a change before it responds. */
     readonly longPollMs?: number;
@@ -18,7 +17,6 @@
     readonly receiver?: string;
 }
 
-/** Result of one exchange. */
 export interface ExchangeResult {
     /** Id of the other instance. */
     readonly instance: string;
@@ -26,5 +24,4 @@
     readonly stalenessMs: number;
 }
 
-/** Sends a request to one instance. */
 export type SendExchange = (request: ExchangeRequest) => Promise<ExchangeResponse>;
--- a/packages/fleet/src/fleet-options.ts
+++ b/packages/fleet/src/fleet-options.ts
@@ -13,7 +13,6 @@
 import type { ExchangeReason } from "./exchange-reason.js";
 import type { PeerAddress, PeerClients } from "./peer-clients.js";
 
-/** Options of a fleet. */
 export interface FleetOptions {
     readonly clock: Clock;
     readonly random: RandomSource;
--- a/packages/fleet/src/fleet.ts
+++ b/packages/fleet/src/fleet.ts
@@ -99,7 +99,6 @@
         this.recovery = new PartitionRecovery({ seeds, members, roles, calls, onContact: () => this.links.refresh() });
     }
 
-    /** Replaces the seeds. */
     replaceSeeds(seeds: readonly PeerAddress[]): void {
         this.seeds.replace(seeds);
     }
--- a/packages/fleet/src/link-task.ts
+++ b/packages/fleet/src/link-task.ts
@@ -14,7 +14,6 @@
 export interface LinkTaskOptions {
     readonly clock: Clock;
     readonly random: RandomSource;
-    /** Returns the current link. */
     readonly link: () => Link;
     /** Returns the latest state of the member. */
     readonly member: () => Member;
@@ -45,7 +44,7 @@
         void this.sendUrgentWhileRunning();
     }
 
-    /** Stops the task. */
+    /** Wakes the task so that it ends; an exchange in progress is not cancelled. */
     stop(): void {
         this.stopping.abort();
         this.changed.set();
--- a/packages/fleet/src/links.ts
+++ b/packages/fleet/src/links.ts
@@ -23,11 +23,9 @@
 /** Options of {@link selectLinks}. */
 export interface LinkOptions {
     readonly self: Member;
-    /** The role of this instance. */
     readonly localRole: Role;
     /** The other members that may be linked. */
     readonly members: readonly Member[];
-    /** The readers of the fleet. */
     readonly readers: readonly Member[];
     /** The relays of this instance's availability zone. */
     readonly relays: readonly Member[];
--- a/packages/fleet/src/member-assignment.ts
+++ b/packages/fleet/src/member-assignment.ts
@@ -14,7 +14,6 @@
 /** Minimum number of members assumed when dividing a limit; a fleet has at least two. */
 const minimumMembers = 2;
 
-/** Maximum number of cached assignments. */
 const maximumCacheEntries = 4096;
 
 /** Options of {@link MemberAssignment}. */
--- a/packages/fleet/src/members.ts
+++ b/packages/fleet/src/members.ts
@@ -19,7 +19,6 @@
 
 interface MemberRecord {
     readonly member: Member;
-    /** Time of the last update. */
     readonly updatedAtMs: number;
     /** Sequence number of the last update on this instance. */
     readonly sequence: bigint;
--- a/packages/fleet/src/peer-calls.ts
+++ b/packages/fleet/src/peer-calls.ts
@@ -20,9 +20,7 @@
     readonly times: FleetTimes;
     readonly exchange: Exchange;
     readonly roles: DistributionRoles;
-    /** Called when an exchange starts. */
     readonly onExchange: (reason: ExchangeReason) => void;
-    /** Called when a call failed. */
     readonly onFailure: (peer: PeerAddress, error: Error) => void;
 }
 
--- a/packages/fleet/src/peer-clients.ts
+++ b/packages/fleet/src/peer-clients.ts
@@ -18,7 +18,6 @@
 export interface PeerClients {
     /** Returns the client for the instance at an address. */
     to(peer: PeerAddress): Client<typeof PeerService>;
-    /** Closes all connections. */
     close(): void;
 }
 
--- a/packages/fleet/src/peer-links.ts
+++ b/packages/fleet/src/peer-links.ts
@@ -48,7 +48,6 @@
         return this.links.has(instance);
     }
 
-    /** Stops all tasks. */
     stop(): void {
         this.tasks.forEach(task => task.stop());
         this.tasks.clear();
--- a/packages/fleet/src/peer-service.ts
+++ b/packages/fleet/src/peer-service.ts
@@ -15,7 +15,6 @@
     /** Returns the explanation of a request that this instance decided; `undefined` without a record of it. */
     readonly explain: (requestId: string) => Explanation | undefined;
     readonly status: () => InstanceStatus;
-    /** Called when a call is rejected. */
     readonly onRejected: (reason: string) => void;
 }
 
--- a/packages/fleet/src/seeds.ts
+++ b/packages/fleet/src/seeds.ts
@@ -25,17 +25,15 @@
         this.replace(options.addresses);
     }
 
-    /** The seeds except this instance. */
+    /** Without this instance. */
     get all(): readonly PeerAddress[] {
         return this.addresses;
     }
 
-    /** Whether this instance is one of the seeds. */
     get includesSelf(): boolean {
         return this.isSeed;
     }
 
-    /** Replaces the seeds. */
     replace(addresses: readonly PeerAddress[]): void {
         this.isSeed = addresses.some(address => isSameAddress(address, this.options.self));
         this.addresses = addresses.filter(address => !isSameAddress(address, this.options.self));
--- a/packages/fleet/src/select-distributors.ts
+++ b/packages/fleet/src/select-distributors.ts
@@ -14,7 +14,6 @@
 /** Instances of one availability zone per relay. */
 const instancesPerRelay = 12;
 
-/** Relays per reader. */
 const relaysPerReader = 64;
 
 /** Minimum number of readers in a fleet of more than {@link singleReaderSize} members, so that one may fail. */
--- a/packages/fleet/src/self-member.ts
+++ b/packages/fleet/src/self-member.ts
@@ -8,7 +8,6 @@
 import { type Member, MemberSchema } from "@harrierhitch/protocol";
 import type { FleetOptions } from "./fleet-options.js";
 
-/** Creates the membership record of this instance. */
 export const createSelfMember = (
     { instance, incarnation, availabilityZone, address, port }: Pick<
         FleetOptions,
--- a/packages/policy/src/service-facts.ts
+++ b/packages/policy/src/service-facts.ts
@@ -28,6 +28,5 @@
     readonly returnInMs: number;
     /** Milliseconds since a caller that could have met its target was rejected due to upstream rate limits; -1 if none was. */
     readonly turnedAwayMs: number;
-    /** Number of all upstreams of the service. */
     readonly upstreams: number;
 }
--- a/packages/standin/src/soak/entry-process.ts
+++ b/packages/standin/src/soak/entry-process.ts
@@ -20,7 +20,6 @@
     readonly seedPorts: readonly number[];
 }
 
-/** State of the process. */
 export type EntryState = "running" | "paused" | "stopping" | "down";
 
 /** Starts, pauses, stops and kills the process of an entry instance. */
@@ -63,7 +62,7 @@
         this.state = "running";
     }
 
-    /** Kills the process with SIGKILL. */
+    /** Sends SIGKILL. */
     kill(): void {
         this.child?.process.kill("SIGKILL");
         this.state = "down";
--- a/packages/standin/src/soak/fault-schedule.ts
+++ b/packages/standin/src/soak/fault-schedule.ts
@@ -29,10 +29,8 @@
     "publish-older",
 ] as const;
 
-/** Kind of a fault. */
 export type FaultKind = typeof faultKinds[number];
 
-/** A fault to inject. */
 export interface PlannedFault {
     readonly kind: FaultKind;
     /** Start of the fault, in milliseconds from the start of the soak. */
--- a/packages/standin/src/soak/soak.ts
+++ b/packages/standin/src/soak/soak.ts
@@ -28,7 +28,6 @@
     readonly basePort: number;
 }
 
-/** Result of a soak. */
 export interface SoakResult {
     readonly violations: readonly Violation[];
     readonly requests: number;
@@ -48,7 +47,6 @@
 /** Time between two polls of the active configuration generations, in milliseconds. */
 const generationPollMs = 250;
 
-/** Runs one soak. */
 export const runSoak = async ({ seed, seconds, entries, upstreams, callers, basePort }: SoakOptions): Promise<SoakResult> => {
     const directory = await mkdtemp(join(tmpdir(), "soak-"));
     const lag = new LagMonitor();
