--- a/packages/standin/src/bench-arrivals.ts
+++ b/packages/standin/src/bench-arrivals.ts
@@ -1,5 +1,5 @@
 /**
- * The arrivals of the decisions benchmark: the same for every chooser.
+ * The arrival process of the decisions benchmark, which is the same for every chooser.
  *
  * @packageDocumentation
  */
@@ -9,22 +9,23 @@
 import { Pool, request } from "undici";
 import { behaviourPath } from "./upstream-standin.js";
 
-/** What a run is. */
+/** Options of {@link runArrivals}. */
 export interface ArrivalsOptions {
-    /** Callers' ports of the entry instances. */
+    /** Ports for callers of the entry instances. */
     readonly callers: readonly number[];
     readonly upstreamPorts: readonly number[];
     readonly perSecond: number;
     readonly seconds: number;
 }
 
-/** What a run found. */
-export interface Figures {
+/** Result of a run. */
+export interface ArrivalsResult {
     readonly sent: number;
     readonly correct: number;
     readonly notRun: number;
     readonly unknown: number;
     readonly failed: number;
+    /** Number of non-repeatable requests that ran more than once. */
     readonly doubled: number;
     readonly p50Ms: number;
     readonly p99Ms: number;
@@ -33,8 +34,8 @@
 
 let runNumber = 0;
 
-/** Poisson arrivals from a fixed seed at random instances; one in five is an issue. */
-export const runArrivals = async ({ callers, upstreamPorts, perSecond, seconds }: ArrivalsOptions): Promise<Figures> => {
+/** Sends requests to random instances as a Poisson process with a fixed seed; one in five is not repeatable. */
+export const runArrivals = async ({ callers, upstreamPorts, perSecond, seconds }: ArrivalsOptions): Promise<ArrivalsResult> => {
     const random = new SeededRandom(42);
     const pools = callers.map(port => new Pool(`http://127.0.0.1:${port}`, { connections: 200, pipelining: 1 }));
     const latencies = build({ lowestDiscernibleValue: 1, highestTrackableValue: 60_000_000, numberOfSignificantValueDigits: 3 });
@@ -83,18 +84,18 @@
     }
     await Promise.all(pending);
     await Promise.all(pools.map(pool => pool.destroy()));
-    const at = (percentile: number): number => latencies.getValueAtPercentile(percentile) / 1000;
+    const latencyMs = (percentile: number): number => latencies.getValueAtPercentile(percentile) / 1000;
     return {
         sent,
         ...counts,
         doubled: await countDoubled(prefix, upstreamPorts),
-        p50Ms: at(50),
-        p99Ms: at(99),
-        p999Ms: at(99.9),
+        p50Ms: latencyMs(50),
+        p99Ms: latencyMs(99),
+        p999Ms: latencyMs(99.9),
     };
 };
 
-/** Issues that ran more than once, on whichever upstreams. */
+/** Returns the number of non-repeatable requests that ran more than once, summed over all upstreams. */
 const countDoubled = async (prefix: string, ports: readonly number[]): Promise<number> => {
     const runs = new Map<string, number>();
     for (const port of ports) {
--- a/packages/standin/src/bench-configuration.ts
+++ b/packages/standin/src/bench-configuration.ts
@@ -1,13 +1,19 @@
 /**
- * The configuration of the benchmark.
+ * The configuration of the benchmarks.
  *
  * @packageDocumentation
  */
 
-/** The rank whose cost is measured. */
+/** The rank expression whose evaluation time is measured. */
 export const rankExpression = "upstream.inFlight * 2.0 + upstream.latencyMs + (upstream.sameZone ? 0.0 : 3.0)";
 
-/** A configuration of one service with the given upstreams. */
+/**
+ * Returns a configuration of one service.
+ *
+ * @param ports - Ports of the upstreams.
+ * @param chooser - Chooser of the policy.
+ * @param rank - Rank expression of the policy; empty for none.
+ */
 export const benchConfiguration = (ports: readonly number[], chooser: string, rank: string): string => `
 generation = 1
 [fleet]
--- a/packages/standin/src/bench-decision-time.ts
+++ b/packages/standin/src/bench-decision-time.ts
@@ -1,5 +1,5 @@
 /**
- * The time of a decision, for the benchmark.
+ * Measures the time of a decision, for the benchmark.
  *
  * @packageDocumentation
  */
@@ -13,7 +13,7 @@
 
 const candidateCounts = [10, 20, 100, 1000];
 
-/** Measures a decision for each chooser and writes a line for each number of candidates. */
+/** Measures decisions with each chooser and writes one line per number of candidates. */
 export const reportDecisions = (write: (text: string) => void): void => {
     write("Time of a decision (microseconds, mean of 20,000 after warm-up)");
     candidateCounts.forEach(count => {
@@ -35,8 +35,8 @@
     const repetitions = Math.max(500, Math.floor(200_000 / count));
     const run = (): number => {
         const startMs = performance.now();
-        for (let turn = 0; turn < repetitions; turn += 1) {
-            decide(policy, inputs[turn % inputs.length] ?? benchInput(count, random));
+        for (let repetition = 0; repetition < repetitions; repetition += 1) {
+            decide(policy, inputs[repetition % inputs.length] ?? benchInput(count, random));
         }
         return (performance.now() - startMs) * 1000 / repetitions;
     };
@@ -44,7 +44,7 @@
     return run();
 };
 
-/** A policy of the benchmark. */
+/** Returns the policy of the benchmark's configuration. */
 export const benchPolicy = (chooser: ChooserName, rank: string): ServicePolicy => {
     const checked = checkConfiguration("bench", benchConfiguration([9000], chooser, rank));
     const policy = checked.value?.services.get(serviceName("main"))?.policy;
@@ -54,12 +54,12 @@
     return policy;
 };
 
-/** An input with some candidates; its request and its service are those of a scenario that says nothing of them. */
+/** Returns a decision input with the given number of candidates and the defaults of a scenario for all else. */
 export const benchInput = (count: number, random: SeededRandom): DecisionInput => {
-    const usual = readScenario("bench", "[upstream.main]", 1);
+    const defaults = readScenario("bench", "[upstream.main]", 1);
     return {
-        ...usual,
-        service: { ...usual.service, inFlight: 5, candidates: count, bestTime: 1, room: 1, freeShare: 1, upstreams: count },
+        ...defaults,
+        service: { ...defaults.service, inFlight: 5, candidates: count, bestTime: 1, room: 1, freeShare: 1, upstreams: count },
         upstreams: Array.from({ length: count }, (_, index) => benchUpstream(index, random)),
         draws: drawNumbers(random),
     };
--- a/packages/standin/src/bench-decisions.ts
+++ b/packages/standin/src/bench-decisions.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run bench:decisions`: choosers under load and faults, with real daemons and sockets.
+ * `npm run bench:decisions`: compares choosers under load and faults, with real daemons and sockets.
  *
  * @packageDocumentation
  */
@@ -8,12 +8,12 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { request } from "undici";
-import { type Figures, runArrivals } from "./bench-arrivals.js";
+import { type ArrivalsResult, runArrivals } from "./bench-arrivals.js";
 import { type Child, programs, startChild } from "./child.js";
-import { calmBehaviour, type UpstreamBehaviour } from "./upstream-behaviour.js";
+import { defaultUpstreamBehaviour, type UpstreamBehaviour } from "./upstream-behaviour.js";
 import { behaviourPath } from "./upstream-standin.js";
 
-/** What is run; the environment variables of the same names in capitals change it. */
+/** Options of the benchmark, set by environment variables of the same names in upper case. */
 const options = {
     instances: Number(process.env["INSTANCES"] ?? 13),
     seconds: Number(process.env["SECONDS"] ?? 5),
@@ -21,22 +21,25 @@
     scenarios: (process.env["SCENARIOS"] ?? "calm-50,calm-85,slow-85,failing-85,calm-120").split(","),
 };
 
+/** Number of upstreams, hosted by two processes. */
 const upstreamCount = 10;
 const meanServiceMs = 20;
 const zones = 4;
 const basePort = 21_000;
-const hosts = 4;
-const capacityPerSecond = upstreamCount * calmBehaviour.slots * 1000 / meanServiceMs;
+const hostCount = 4;
+const capacityPerSecond = upstreamCount * defaultUpstreamBehaviour.slots * 1000 / meanServiceMs;
 const timeoutMs = 500;
-const drainMs = 1500;
+/** Time between two runs for pending requests to end and the new configuration to be accepted. */
+const settleMs = 1500;
 
-/** Without a warm-up the first chooser pays for compiling and for opening connections. */
+/** Duration of the warm-up, which compiles the code and opens the connections before the first run. */
 const warmUpSeconds = 8;
+/** Load of the warm-up as a fraction of the capacity. */
 const warmUpLoad = 0.7;
 
-const calm: Partial<UpstreamBehaviour> = { slowness: 1, failStatus: 0, draining: false, reset: false };
+const normalBehaviour: Partial<UpstreamBehaviour> = { slowness: 1, failStatus: 0, draining: false, reset: false };
 
-/** Faults of the first upstream, by the first word of a scenario. */
+/** Faults of the first upstream, by the first part of a scenario's name. */
 const faults: Readonly<Record<string, Partial<UpstreamBehaviour>>> = {
     calm: {},
     slow: { slowness: 10 },
@@ -45,7 +48,7 @@
     draining: { draining: true },
 };
 
-/** Runs every scenario with every chooser, on the same arrivals, and writes a table. */
+/** Runs every scenario with every chooser and the same arrivals, and writes a table. */
 export const runDecisionsBench = async (): Promise<void> => {
     const directory = await mkdtemp(join(tmpdir(), "decisions-"));
     const children: Child[] = [];
@@ -74,24 +77,24 @@
         const { port } = await start(["platform", "--directory", directory]).line<{ port: number; }>("port");
         const callers = await startHosts(start, port);
         write(
-            `${upstreamCount} upstreams of ${calmBehaviour.slots} slots, ${meanServiceMs} ms, ${options.instances} instances, ${options.seconds} s a run`,
+            `${upstreamCount} upstreams of ${defaultUpstreamBehaviour.slots} slots, ${meanServiceMs} ms, ${options.instances} instances, ${options.seconds} s a run`,
         );
         write("scenario     chooser             correct  not-run  unknown  failed  doubled    p50     p99   p99.9  correct/s");
         await runArrivals({ callers, upstreamPorts, perSecond: capacityPerSecond * warmUpLoad, seconds: warmUpSeconds });
         for (const scenario of options.scenarios) {
             for (const chooser of options.choosers) {
                 await publish(chooser);
-                await wait(drainMs);
+                await wait(settleMs);
                 const [fault = "calm", load = "50"] = scenario.split("-");
-                await behave(upstreamPorts[0] ?? 0, { ...calm, ...faults[fault] });
-                const figures = await runArrivals({
+                await changeBehaviour(upstreamPorts[0] ?? 0, { ...normalBehaviour, ...faults[fault] });
+                const result = await runArrivals({
                     callers,
                     upstreamPorts,
                     perSecond: Number(load) / 100 * capacityPerSecond,
                     seconds: options.seconds,
                 });
-                await behave(upstreamPorts[0] ?? 0, calm);
-                write(row(scenario, chooser, figures));
+                await changeBehaviour(upstreamPorts[0] ?? 0, normalBehaviour);
+                write(row(scenario, chooser, result));
             }
         }
     }
@@ -102,8 +105,8 @@
 };
 
 const startHosts = async (start: (args: readonly string[]) => Child, platformPort: number): Promise<readonly number[]> => {
-    const perHost = Math.ceil(options.instances / hosts);
-    const lines = await Promise.all(Array.from({ length: hosts }, (_, host) => {
+    const perHost = Math.ceil(options.instances / hostCount);
+    const lines = await Promise.all(Array.from({ length: hostCount }, (_, host) => {
         const count = Math.min(perHost, options.instances - host * perHost);
         const child = start([
             "host-entries",
@@ -165,7 +168,7 @@
 
 const wait = (delayMs: number): Promise<void> => new Promise(resolve => setTimeout(resolve, delayMs));
 
-const behave = async (port: number, behaviour: Partial<UpstreamBehaviour>): Promise<void> => {
+const changeBehaviour = async (port: number, behaviour: Partial<UpstreamBehaviour>): Promise<void> => {
     const response = await request(`http://127.0.0.1:${port}${behaviourPath}`, {
         method: "POST",
         body: JSON.stringify(behaviour),
@@ -173,20 +176,20 @@
     await response.body.dump();
 };
 
-const row = (scenario: string, chooser: string, figures: Figures): string => {
-    const share = (count: number): string => `${(count * 100 / figures.sent).toFixed(2)} %`.padStart(8);
+const row = (scenario: string, chooser: string, result: ArrivalsResult): string => {
+    const share = (count: number): string => `${(count * 100 / result.sent).toFixed(2)} %`.padStart(8);
     const ms = (value: number): string => value.toFixed(1).padStart(7);
     return [
         scenario.padEnd(12),
         chooser.padEnd(18),
-        share(figures.correct),
-        share(figures.notRun),
-        share(figures.unknown),
-        share(figures.failed),
-        String(figures.doubled).padStart(7),
-        ms(figures.p50Ms),
-        ms(figures.p99Ms),
-        ms(figures.p999Ms),
-        (figures.correct / options.seconds).toFixed(0).padStart(9),
+        share(result.correct),
+        share(result.notRun),
+        share(result.unknown),
+        share(result.failed),
+        String(result.doubled).padStart(7),
+        ms(result.p50Ms),
+        ms(result.p99Ms),
+        ms(result.p999Ms),
+        (result.correct / options.seconds).toFixed(0).padStart(9),
     ].join(" ");
 };
--- a/packages/standin/src/bench-fleet.ts
+++ b/packages/standin/src/bench-fleet.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench:fleet`: how fast news reaches everyone, and what acting
- * together costs, by the number of instances.
+ * `npm run bench:fleet`: measures how fast a configuration reaches all instances and what the fleet protocol costs, by the
+ * number of instances.
  *
  * @packageDocumentation
  */
@@ -16,14 +16,16 @@
 
 const sizes = (process.env["SIZES"] ?? "3,6,12,18,36,72").split(",").map(Number);
 const publications = Number(process.env["PUBLICATIONS"] ?? 4);
-const perHost = 12;
+const instancesPerHost = 12;
 const zones = 3;
 const basePort = 22_000;
 const settleMs = 3000;
 const idleMs = 5000;
 const publicationMs = 2000;
+/** Number of the log event for an accepted configuration. */
 const acceptedEvent = 200;
 
+/** A line that a host process writes: a log event or its resource usage. */
 interface HostLine {
     readonly event?: number;
     readonly time?: number;
@@ -33,18 +35,18 @@
     readonly serving?: number;
 }
 
-/** Figures of one size. */
+/** Result for one fleet size. */
 export interface FleetFigures {
     readonly instances: number;
-    /** Milliseconds from publishing until the last instance had accepted, for each publication. */
-    readonly spreadMs: readonly number[];
+    /** Time from publishing until the last instance accepted the configuration, for each publication, in milliseconds. */
+    readonly propagationMs: readonly number[];
     readonly cpuShare: number;
     readonly bytesPerSecond: number;
     readonly rssBytes: number;
     readonly platformCallsPerSecond: number;
 }
 
-/** Measures every size and writes a table. */
+/** Measures every fleet size and writes a table. */
 export const runFleetBench = async (): Promise<void> => {
     write("instances  serving  in force everywhere p50 / max (ms)  cpu a node  bytes/s a node  memory a node  platform calls/s");
     for (const instances of sizes) {
@@ -75,8 +77,8 @@
     try {
         await publish(1);
         const platform = await start(["platform", "--directory", directory]).line<{ port: number; }>("port");
-        for (let first = 0; first < instances; first += perHost) {
-            const count = Math.min(perHost, instances - first);
+        for (let first = 0; first < instances; first += instancesPerHost) {
+            const count = Math.min(instancesPerHost, instances - first);
             const child = start([
                 "host-entries",
                 "--first",
@@ -90,21 +92,21 @@
                 "--zones",
                 String(zones),
             ]);
-            const own: HostLine[] = [];
-            lines.push(own);
+            const hostLines: HostLine[] = [];
+            lines.push(hostLines);
             if (child.process.stdout !== null) {
-                createInterface({ input: child.process.stdout }).on("line", text => own.push(JSON.parse(text) as HostLine));
+                createInterface({ input: child.process.stdout }).on("line", text => hostLines.push(JSON.parse(text) as HostLine));
             }
         }
-        await untilServing(lines, instances);
+        await waitUntilServing(lines, instances);
         await wait(settleMs);
         const before = snapshot(lines);
         const callsBefore = await calls(platform.port);
         await wait(idleMs);
         const after = snapshot(lines);
         const callsAfter = await calls(platform.port);
-        const spreadMs = await measureSpread(lines, instances, publish);
-        report(instances, lines, before, after, (callsAfter - callsBefore) * 1000 / idleMs, spreadMs);
+        const propagationMs = await measurePropagation(lines, instances, publish);
+        report(instances, lines, before, after, (callsAfter - callsBefore) * 1000 / idleMs, propagationMs);
     }
     finally {
         await Promise.all(children.map(child => child.stop()));
@@ -112,18 +114,18 @@
     }
 };
 
-const untilServing = async (lines: readonly HostLine[][], instances: number): Promise<void> => {
-    const serving = (): number => lines.reduce((sum, own) => sum + (latest(own, "serving") ?? 0), 0);
+const waitUntilServing = async (lines: readonly HostLine[][], instances: number): Promise<void> => {
+    const serving = (): number => lines.reduce((sum, hostLines) => sum + (latest(hostLines, "serving") ?? 0), 0);
     for (let tries = 0; serving() < instances && tries < 60; tries += 1) {
         await wait(500);
     }
 };
 
-const latest = (own: readonly HostLine[], field: "serving" | "cpuMs" | "rssBytes"): number | undefined =>
-    own.findLast(line => line[field] !== undefined)?.[field];
+const latest = (hostLines: readonly HostLine[], field: "serving" | "cpuMs" | "rssBytes"): number | undefined =>
+    hostLines.findLast(line => line[field] !== undefined)?.[field];
 
 const sum = (lines: readonly HostLine[][], field: "serving" | "cpuMs" | "rssBytes"): number =>
-    lines.reduce((total, own) => total + (latest(own, field) ?? 0), 0);
+    lines.reduce((total, hostLines) => total + (latest(hostLines, field) ?? 0), 0);
 
 interface Snapshot {
     readonly atMs: number;
@@ -139,15 +141,15 @@
 
 const calls = async (port: number): Promise<number> => {
     const response = await request(`http://127.0.0.1:${port}/calls`);
-    return (await response.body.json() as { readonly calls: number; }).calls;
+    return (await response.body.json() as { readonly readPlatformCalls: number; }).readPlatformCalls;
 };
 
-const measureSpread = async (
+const measurePropagation = async (
     lines: readonly HostLine[][],
     instances: number,
     publish: (generation: number) => Promise<void>,
 ): Promise<readonly number[]> => {
-    const spreads: number[] = [];
+    const delaysMs: number[] = [];
     for (let generation = 2; generation < 2 + publications; generation += 1) {
         const atUnixMs = Date.now();
         await publish(generation);
@@ -155,9 +157,9 @@
         const times = lines.flat().filter(line => line.event === acceptedEvent && line.generation === generation).map(line =>
             line.time ?? 0
         );
-        spreads.push(times.length === instances ? Math.max(...times) - atUnixMs : Infinity);
+        delaysMs.push(times.length === instances ? Math.max(...times) - atUnixMs : Infinity);
     }
-    return spreads.sort((a, b) => a - b);
+    return delaysMs.sort((a, b) => a - b);
 };
 
 const report = (
@@ -166,7 +168,7 @@
     before: Snapshot,
     after: Snapshot,
     callsPerSecond: number,
-    spreadMs: readonly number[],
+    propagationMs: readonly number[],
 ): void => {
     const elapsedMs = after.atMs - before.atMs;
     const cpu = (after.cpuMs - before.cpuMs) / elapsedMs / instances * 100;
@@ -174,7 +176,7 @@
     write([
         String(instances).padStart(9),
         String(sum(lines, "serving")).padStart(8),
-        `${spreadMs[Math.floor(spreadMs.length / 2)]} / ${spreadMs.at(-1)}`.padStart(36),
+        `${propagationMs[Math.floor(propagationMs.length / 2)]} / ${propagationMs.at(-1)}`.padStart(36),
         `${cpu.toFixed(2)} %`.padStart(11),
         bytes.toFixed(0).padStart(15),
         `${(sum(lines, "rssBytes") / instances / 1_048_576).toFixed(0)} MB`.padStart(14),
--- a/packages/standin/src/bench-memory.ts
+++ b/packages/standin/src/bench-memory.ts
@@ -1,5 +1,5 @@
 /**
- * The memory of decision records, for the benchmark.
+ * Measures the memory of decision records, for the benchmark.
  *
  * @packageDocumentation
  */
@@ -12,7 +12,7 @@
 
 const records = 3000;
 
-/** Writes the heap that one decision with its input takes, by its number of candidates. */
+/** Writes the heap size of one decision with its input, by the number of candidates. */
 export const reportRecordMemory = (write: (text: string) => void): void => {
     setFlagsFromString("--expose-gc");
     const collect = runInNewContext("gc") as () => void;
@@ -21,12 +21,12 @@
     const sizes = [0, 10, 20, 40].map(candidates => {
         collect();
         const before = process.memoryUsage().heapUsed;
-        const kept = Array.from({ length: records }, () => {
+        const retained = Array.from({ length: records }, () => {
             const input = benchInput(candidates, random);
             return { atMs: random.next(), tookMs: random.next(), input, decision: decide(policy, input) };
         });
         collect();
-        const bytes = (process.memoryUsage().heapUsed - before) / kept.length;
+        const bytes = (process.memoryUsage().heapUsed - before) / retained.length;
         return { candidates, bytes };
     });
     write(
--- a/packages/standin/src/bench.ts
+++ b/packages/standin/src/bench.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench`: latency added and throughput of one daemon against a direct
- * connection and against a bare pass-through, and the time of a decision.
+ * `npm run bench`: compares latency and throughput of one daemon with a direct connection and with a pass-through proxy, and
+ * measures memory and the time of a decision.
  *
  * @packageDocumentation
  */
@@ -39,7 +39,7 @@
         }))).flatMap(line => line.ports);
         await writeFile(join(directory, "configuration.ini"), benchConfiguration(ports, "two-choices", rankExpression));
         const platform = await start(programs.standin, ["platform", "--directory", directory]).line<{ port: number; }>("port");
-        const through = await start(programs.standin, ["pass-through", "--ports", ports.join(",")]).line<{ port: number; }>(
+        const passThrough = await start(programs.standin, ["pass-through", "--ports", ports.join(",")]).line<{ port: number; }>(
             "port",
         );
         const settings = join(directory, "settings.ini");
@@ -50,7 +50,7 @@
         const metrics = `http://127.0.0.1:${operators}/metrics`;
         await reportTraffic(
             `http://127.0.0.1:${ports[0]}/read`,
-            `http://127.0.0.1:${through.port}/read`,
+            `http://127.0.0.1:${passThrough.port}/read`,
             `http://127.0.0.1:${callers}/read`,
             metrics,
         );
@@ -71,29 +71,32 @@
     process.stdout.write(`${text}\n`);
 };
 
-const reportTraffic = async (direct: string, through: string, daemon: string, metrics: string): Promise<void> => {
-    const throughCpu = () => passThroughCpu(through);
+const reportTraffic = async (direct: string, passThrough: string, daemon: string, metrics: string): Promise<void> => {
+    const passThroughCpuSeconds = () => passThroughCpu(passThrough);
     const daemonCpu = () => metricOf(metrics, "process_cpu_seconds_total");
-    const best = { through: 0, daemon: 0 };
+    const best = { passThrough: 0, daemon: 0 };
     await closedLoop(daemon, saturatingConnections, 2);
-    await closedLoop(through, saturatingConnections, 2);
+    await closedLoop(passThrough, saturatingConnections, 2);
     write(`Saturation, ${saturatingConnections} connections, ${roundSeconds} s a round, alternating`);
     for (let round = 0; round < rounds; round += 1) {
-        const throughResult = await withCpu(throughCpu, () => closedLoop(through, saturatingConnections, roundSeconds));
+        const passThroughResult = await withCpu(
+            passThroughCpuSeconds,
+            () => closedLoop(passThrough, saturatingConnections, roundSeconds),
+        );
         const daemonResult = await withCpu(daemonCpu, () => closedLoop(daemon, saturatingConnections, roundSeconds));
-        best.through = Math.max(best.through, rate(throughResult));
+        best.passThrough = Math.max(best.passThrough, rate(passThroughResult));
         best.daemon = Math.max(best.daemon, rate(daemonResult));
-        const rates = `pass-through ${rate(throughResult).toFixed(0)}/s, daemon ${rate(daemonResult).toFixed(0)}/s`;
-        const cpu = `${throughResult.cpuMicroseconds.toFixed(0)} and ${daemonResult.cpuMicroseconds.toFixed(0)} us`;
-        const cpuShare = (throughResult.cpuMicroseconds / daemonResult.cpuMicroseconds * 100).toFixed(0);
-        const rateShare = (rate(daemonResult) / rate(throughResult) * 100).toFixed(0);
+        const rates = `pass-through ${rate(passThroughResult).toFixed(0)}/s, daemon ${rate(daemonResult).toFixed(0)}/s`;
+        const cpu = `${passThroughResult.cpuMicroseconds.toFixed(0)} and ${daemonResult.cpuMicroseconds.toFixed(0)} us`;
+        const cpuShare = (passThroughResult.cpuMicroseconds / daemonResult.cpuMicroseconds * 100).toFixed(0);
+        const rateShare = (rate(daemonResult) / rate(passThroughResult) * 100).toFixed(0);
         write(`  round ${round + 1}: ${rates} (${rateShare} %); processor time of a request ${cpu} (${cpuShare} %)`);
-        write(`           failures ${throughResult.failures} and ${daemonResult.failures}`);
+        write(`           failures ${passThroughResult.failures} and ${daemonResult.failures}`);
     }
-    await reportLatency([direct, through, daemon], Math.floor(best.daemon / 2));
+    await reportLatency([direct, passThrough, daemon], Math.floor(best.daemon / 2));
 };
 
-/** The targets take turns, one at a time, so that none measures the load of another; the median round counts. */
+/** Measures the targets one at a time, so that they do not load each other, and writes the medians of all rounds. */
 const reportLatency = async (urls: readonly string[], perSecond: number): Promise<void> => {
     write(
         `Latency at ${perSecond}/s, half of the daemon's saturation, median of ${latencyRounds} alternating rounds of ${roundSeconds} s (ms)`,
@@ -121,7 +124,7 @@
 
 const median = (values: readonly number[]): number => [...values].sort((a, b) => a - b)[Math.floor(values.length / 2)] ?? 0;
 
-/** Runs a load and adds the processor time of a request, which other work on the machine disturbs less than rates. */
+/** Runs a load and adds the processor time per request, which depends less on other processes of the machine than rates do. */
 const withCpu = async (cpuSeconds: () => Promise<number>, run: () => Promise<LoadResult>) => {
     const before = await cpuSeconds();
     const result = await run();
--- a/packages/standin/src/child.ts
+++ b/packages/standin/src/child.ts
@@ -1,6 +1,5 @@
 /**
- * Child processes of quickstart and benchmarks. Only tools start processes; the
- * daemon and the command line start none.
+ * Child processes of the quickstart, the benchmarks and the soak.
  *
  * @packageDocumentation
  */
@@ -9,19 +8,19 @@
 import { createInterface } from "node:readline";
 import { fileURLToPath } from "node:url";
 
-/** A child process that writes one JSON object a line. */
+/** A child process that writes one JSON object per line. */
 export interface Child {
     readonly process: ChildProcess;
-    /** Waits for a line that has the given field and gives the line's object. */
+    /** Returns the first object that has the given field, and waits for it if necessary. */
     line<Line>(field: string): Promise<Line>;
-    /** Asks the process to stop and waits for its end. */
+    /** Sends SIGTERM and waits until the process has exited. */
     stop(): Promise<void>;
 }
 
-/** Path of a program of this workspace. */
+/** Returns the path of a program, relative to this package. */
 const programPath = (name: string): string => fileURLToPath(new URL(`../../${name}`, import.meta.url));
 
-/** Programs by name. */
+/** Paths of the programs. */
 export const programs = {
     standin: programPath("bin/standin.js"),
     daemon: programPath("../daemon/bin/harrierhitchd.js"),
@@ -29,59 +28,59 @@
 } as const;
 
 /**
- * Starts a program in a process of its own.
+ * Starts a program in a child process.
  *
  * @param program - Path of the program.
  * @param args - Its arguments.
  */
 export const startChild = (program: string, args: readonly string[]): Child => {
     const child = spawn(process.execPath, [program, ...args], { stdio: ["ignore", "pipe", "inherit"] });
-    endWithThisProcess(child);
-    const seen: Record<string, unknown>[] = [];
-    const waiting = new Set<() => void>();
+    killOnExit(child);
+    const lines: Record<string, unknown>[] = [];
+    const pendingChecks = new Set<() => void>();
     createInterface({ input: child.stdout }).on("line", text => {
         if (text.startsWith("{")) {
-            seen.push(JSON.parse(text) as Record<string, unknown>);
-            waiting.forEach(check => check());
+            lines.push(JSON.parse(text) as Record<string, unknown>);
+            pendingChecks.forEach(check => check());
         }
     });
-    const ended = new Promise<void>(resolve => child.once("exit", () => resolve()));
+    const exited = new Promise<void>(resolve => child.once("exit", () => resolve()));
     return {
         process: child,
         line: <Line>(field: string) =>
             new Promise<Line>(resolve => {
                 const check = (): void => {
-                    const found = seen.find(line => field in line);
+                    const found = lines.find(line => field in line);
                     if (found !== undefined) {
-                        waiting.delete(check);
+                        pendingChecks.delete(check);
                         resolve(found as Line);
                     }
                 };
-                waiting.add(check);
+                pendingChecks.add(check);
                 check();
             }),
         stop: async () => {
             child.kill("SIGTERM");
-            await ended;
+            await exited;
         },
     };
 };
 
-const running = new Set<ChildProcess>();
-let isWatching = false;
+const runningChildren = new Set<ChildProcess>();
+let hasExitHandler = false;
 
-/** Children never outlive the tool that started them, also when it is stopped or fails. */
-const endWithThisProcess = (child: ChildProcess): void => {
-    if (!isWatching) {
-        isWatching = true;
-        process.once("exit", () => running.forEach(other => other.kill("SIGKILL")));
+/** Kills the child when this process exits, also after SIGTERM or an error. */
+const killOnExit = (child: ChildProcess): void => {
+    if (!hasExitHandler) {
+        hasExitHandler = true;
+        process.once("exit", () => runningChildren.forEach(other => other.kill("SIGKILL")));
         process.once("SIGTERM", () => process.exit(1));
     }
-    running.add(child);
-    child.once("exit", () => running.delete(child));
+    runningChildren.add(child);
+    child.once("exit", () => runningChildren.delete(child));
 };
 
-/** Runs a program to its end and gives what it wrote. */
+/** Runs a program until it exits and returns its standard output. */
 export const runProgram = async (program: string, args: readonly string[]): Promise<string> => {
     const child = spawn(process.execPath, [program, ...args], { stdio: ["ignore", "pipe", "inherit"] });
     const chunks: Buffer[] = [];
--- a/packages/standin/src/fast-upstream.ts
+++ b/packages/standin/src/fast-upstream.ts
@@ -1,5 +1,5 @@
 /**
- * Upstreams of the benchmark: they answer at once with a kilobyte.
+ * Upstreams of the benchmark, which respond immediately with a body of 1 KiB.
  *
  * @packageDocumentation
  */
@@ -7,19 +7,19 @@
 import { createServer } from "node:http";
 import type { AddressInfo } from "node:net";
 
-const answer = Buffer.alloc(1024, "x");
+const responseBody = Buffer.alloc(1024, "x");
 
 /**
- * Starts some upstreams in this process.
+ * Starts upstreams in this process.
  *
- * @param count - How many.
+ * @param count - Number of upstreams.
  * @returns Their ports.
  */
 export const startFastUpstreams = (count: number): Promise<readonly number[]> =>
     Promise.all(Array.from({ length: count }, async () => {
         const server = createServer({ keepAliveTimeout: 60_000 }, (request, response) => {
             request.resume();
-            response.writeHead(200, { "content-length": answer.length, "x-upstream-in-flight": "1" }).end(answer);
+            response.writeHead(200, { "content-length": responseBody.length, "x-upstream-in-flight": "1" }).end(responseBody);
         });
         await new Promise<void>(resolve => server.listen(0, "127.0.0.1", resolve));
         return (server.address() as AddressInfo).port;
--- a/packages/standin/src/host.ts
+++ b/packages/standin/src/host.ts
@@ -1,6 +1,5 @@
 /**
- * Processes that host several upstreams or several entry instances, so that a
- * fleet fits one machine.
+ * Processes that host several upstreams or entry instances, so that a large fleet runs on one machine.
  *
  * @packageDocumentation
  */
@@ -10,17 +9,17 @@
 import { loopbackSettings } from "./loopback-settings.js";
 import { UpstreamStandin } from "./upstream-standin.js";
 
-/** Tells the process that started this one. */
-const tell = (line: Readonly<Record<string, unknown>>): void => {
+/** Writes a JSON line to standard output, which the parent process reads. */
+const writeLine = (line: Readonly<Record<string, unknown>>): void => {
     process.stdout.write(`${JSON.stringify(line)}\n`);
 };
 
 /**
- * Hosts upstreams.
+ * Hosts upstreams and writes their ports.
  *
- * @param first - Number of the first one, which is also its seed.
- * @param count - How many.
- * @param meanServiceMs - Their mean service time.
+ * @param first - Number of the first upstream, which is also its seed.
+ * @param count - Number of upstreams.
+ * @param meanServiceMs - Mean service time in milliseconds.
  */
 export const hostUpstreams = async (first: number, count: number, meanServiceMs: number): Promise<void> => {
     const ports = await Promise.all(
@@ -29,30 +28,32 @@
             (_, index) => new UpstreamStandin(`main-${first + index}`, { meanServiceMs }, first + index).listen(),
         ),
     );
-    tell({ ports });
+    writeLine({ ports });
 };
 
-/** What a host of entry instances needs. */
+/** Options of {@link hostEntries}. */
 export interface HostEntriesOptions {
+    /** Number of the first instance. */
     readonly first: number;
+    /** Number of instances. */
     readonly count: number;
     readonly platformPort: number;
-    /** Port between instances of instance 0; the others follow. */
+    /** Peers' port of instance 0; further instances use the ports that follow. */
     readonly basePort: number;
-    /** Availability zones over which the instances are spread. */
+    /** Number of availability zones to which the instances are assigned in turn. */
     readonly zones: number;
 }
 
-/** Hosts entry instances; tells processor time and memory every second, and events as the daemon logs them. */
+/** Hosts entry instances; writes their ports, their log events and, every second, the processor time and memory used. */
 export const hostEntries = async ({ first, count, platformPort, basePort, zones }: HostEntriesOptions): Promise<void> => {
     const numbers = Array.from({ length: count }, (_, index) => first + index);
     const daemons = numbers.map(number => createDaemon(number, zones, platformPort, basePort));
     const ports = await Promise.all(daemons.map(daemon => daemon.start()));
-    tell({ callers: ports.map(port => port.callers), operators: ports.map(port => port.operators) });
+    writeLine({ callers: ports.map(port => port.callers), operators: ports.map(port => port.operators) });
     process.once("SIGTERM", () => process.exit(0));
     setInterval(() => {
         const { user, system } = process.cpuUsage();
-        tell({
+        writeLine({
             cpuMs: (user + system) / 1000,
             rssBytes: process.memoryUsage().rss,
             serving: daemons.filter(daemon => daemon.instance.stage === "serving").length,
@@ -60,7 +61,7 @@
     }, 1000);
 };
 
-/** Instances that the others ask first. */
+/** Numbers of the instances that are the seeds of all others. */
 const seedNumbers = [0, 1, 2] as const;
 
 const createDaemon = (number: number, zones: number, platformPort: number, basePort: number): Daemon => {
--- a/packages/standin/src/index.ts
+++ b/packages/standin/src/index.ts
@@ -7,5 +7,5 @@
 export { type PlatformBehaviour, PlatformStandin } from "./platform-standin.js";
 export { runStandinProgram } from "./program.js";
 export { runQuickstart } from "./quickstart.js";
-export { calmBehaviour, type UpstreamBehaviour } from "./upstream-behaviour.js";
+export { defaultUpstreamBehaviour, type UpstreamBehaviour } from "./upstream-behaviour.js";
 export { behaviourPath, UpstreamStandin } from "./upstream-standin.js";
--- a/packages/standin/src/load-generator.ts
+++ b/packages/standin/src/load-generator.ts
@@ -1,5 +1,5 @@
 /**
- * Load for benchmarks: bounded in requests and time, with histograms by a library.
+ * Load generators of the benchmarks.
  *
  * @packageDocumentation
  */
@@ -7,7 +7,7 @@
 import { build, type Histogram } from "hdr-histogram-js";
 import { type Dispatcher, Pool } from "undici";
 
-/** What a run of load found. */
+/** Result of a load run. */
 export interface LoadResult {
     readonly requests: number;
     readonly failures: number;
@@ -16,11 +16,11 @@
     readonly latencies: Histogram;
 }
 
-/** Latencies are recorded up to a minute, in microseconds. */
-const newHistogram = (): Histogram =>
+/** Creates a histogram of latencies up to one minute, in microseconds. */
+const createHistogram = (): Histogram =>
     build({ lowestDiscernibleValue: 1, highestTrackableValue: 60_000_000, numberOfSignificantValueDigits: 3 });
 
-/** Sends one GET and resolves with whether the whole answer was a 200. */
+/** Sends a GET request and returns whether it was answered completely, with status 200. */
 const getOnce = (pool: Pool, path: string): Promise<boolean> =>
     new Promise(resolve => {
         let status = 0;
@@ -37,16 +37,16 @@
     });
 
 /**
- * Sends as fast as answers come, over a fixed number of connections.
+ * Sends requests over a fixed number of connections, the next one as soon as the previous one has ended.
  *
- * @param url - Where to.
+ * @param url - URL to request.
  * @param connections - Number of connections, each with one request at a time.
- * @param seconds - How long.
+ * @param seconds - Duration of the run.
  */
 export const closedLoop = async (url: string, connections: number, seconds: number): Promise<LoadResult> => {
     const { origin, pathname } = new URL(url);
     const pool = new Pool(origin, { connections, pipelining: 1 });
-    const latencies = newHistogram();
+    const latencies = createHistogram();
     const startMs = performance.now();
     let failures = 0;
     const worker = async (): Promise<void> => {
@@ -57,23 +57,23 @@
         }
     };
     await Promise.all(Array.from({ length: connections }, worker));
-    const took = (performance.now() - startMs) / 1000;
+    const elapsedSeconds = (performance.now() - startMs) / 1000;
     await pool.close();
-    return { requests: latencies.totalCount, failures, seconds: took, latencies };
+    return { requests: latencies.totalCount, failures, seconds: elapsedSeconds, latencies };
 };
 
 /**
- * Sends at a fixed rate whatever the answers do; latency counts from the time a
- * request was due, so that a stall is not hidden.
+ * Sends requests at a fixed rate, independent of the responses. Latency is measured from the time at which a request was
+ * due, so that it includes the effect of stalls.
  *
- * @param url - Where to.
- * @param perSecond - Requests a second.
- * @param seconds - How long.
+ * @param url - URL to request.
+ * @param perSecond - Requests per second.
+ * @param seconds - Duration of the run.
  */
 export const openLoop = async (url: string, perSecond: number, seconds: number): Promise<LoadResult> => {
     const { origin, pathname } = new URL(url);
     const pool = new Pool(origin, { connections: 100, pipelining: 1 });
-    const latencies = newHistogram();
+    const latencies = createHistogram();
     const startMs = performance.now();
     const pending = new Set<Promise<void>>();
     const total = Math.floor(perSecond * seconds);
@@ -95,6 +95,6 @@
     return { requests: latencies.totalCount, failures, seconds: (performance.now() - startMs) / 1000, latencies };
 };
 
-/** A percentile of a result in milliseconds. */
+/** Returns a percentile of the latency in milliseconds. */
 export const percentileMs = (result: LoadResult, percentile: number): number =>
     result.latencies.getValueAtPercentile(percentile) / 1000;
--- a/packages/standin/src/loopback-settings.ts
+++ b/packages/standin/src/loopback-settings.ts
@@ -1,24 +1,26 @@
 /**
- * Settings of daemons on loopback, for quickstart and benchmarks.
+ * Settings of daemons on loopback, for the quickstart, the benchmarks and the soak.
  *
  * @packageDocumentation
  */
 
-/** What differs between such daemons. */
+/** Settings that differ between daemons. */
 export interface LoopbackSettingsOptions {
     readonly id: string;
     readonly availabilityZone: string;
     readonly fleet: string;
     readonly platformPort: number;
-    /** Ports; the default 0 takes a free one. */
+    /** Port for callers; a free port by default. */
     readonly callersPort?: number;
+    /** Port for operators; a free port by default. */
     readonly operatorsPort?: number;
+    /** Port for other instances; a free port by default. */
     readonly peersPort?: number;
-    /** Ports between instances of those that are asked first. */
+    /** Peers' ports of the seed instances. */
     readonly seedPorts?: readonly number[];
 }
 
-/** Writes the settings. */
+/** Returns the text of a settings file. */
 export const loopbackSettings = (options: LoopbackSettingsOptions): string => `
 [instance]
 id = ${options.id}
--- a/packages/standin/src/pass-through.ts
+++ b/packages/standin/src/pass-through.ts
@@ -1,6 +1,5 @@
 /**
- * The baseline of the benchmark: a bare pass-through of `node:http` and `undici`,
- * which takes its upstreams in turn and does nothing else.
+ * The baseline of the benchmark: a minimal round-robin proxy of `node:http` and `undici`.
  *
  * @packageDocumentation
  */
@@ -10,20 +9,20 @@
 import { type Dispatcher, Pool } from "undici";
 
 /**
- * Starts the pass-through.
+ * Starts the proxy, which also serves its processor and memory usage at `/cpu`.
  *
  * @param ports - Ports of the upstreams on loopback.
- * @returns Its port.
+ * @returns The port of the proxy.
  */
 export const startPassThrough = async (ports: readonly number[]): Promise<number> => {
     const pools = ports.map(port => new Pool(`http://127.0.0.1:${port}`, { connections: 11, pipelining: 1 }));
-    let turn = 0;
+    let nextPool = 0;
     const server = createServer((request, response) => {
         if (request.url === "/cpu") {
             response.end(JSON.stringify({ ...process.cpuUsage(), ...process.memoryUsage() }));
             return;
         }
-        const pool = pools[turn++ % pools.length];
+        const pool = pools[nextPool++ % pools.length];
         pool?.dispatch({
             method: request.method as Dispatcher.HttpMethod,
             path: request.url ?? "/",
--- a/packages/standin/src/platform-standin.ts
+++ b/packages/standin/src/platform-standin.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in for the platform's configuration service: it serves the files of a
- * directory, each under its name without the ending, with ETags and long polls.
+ * A stand-in for the platform's configuration service: serves the files of a directory, each under its name without the
+ * extension, with ETags and long polling.
  *
  * @packageDocumentation
  */
@@ -11,31 +11,31 @@
 import type { AddressInfo } from "node:net";
 import { join } from "node:path";
 
-/** How the stand-in behaves; each fault can be switched on and off. */
+/** Faults of the stand-in; none are active by default. */
 export interface PlatformBehaviour {
-    /** Answers every call with this status instead of the value. */
+    /** Status that is returned instead of the value. */
     readonly failStatus?: number;
-    /** Answers every read with this text instead of the value. */
+    /** Text that is returned instead of the value. */
     readonly garbage?: string;
-    /** Waits this long before each answer. */
+    /** Delay before each response, in milliseconds. */
     readonly delayMs?: number;
 }
 
-/** Time between two looks at a file while a watch waits. */
-const pollMs = 20;
+/** Time between two reads of a file while a long poll waits, in milliseconds. */
+const filePollMs = 20;
 
-/** Serves `read` and `watch`, and counts calls. */
+/** Serves reads and long polls of published values, and counts the calls. */
 export class PlatformStandin {
-    /** How it behaves now. */
+    /** The current behaviour. */
     behaviour: PlatformBehaviour = {};
-    /** Number of calls so far, a waiting watch as one. */
+    /** Number of calls so far; a long poll counts once. */
     calls = 0;
     private readonly published = new Map<string, string>();
     private readonly server: Server;
 
-    /** @param directory - Directory of files; without one, only {@link publish} provides values. */
+    /** @param directory - Directory of published files; without it, only {@link publish} provides values. */
     constructor(private readonly directory?: string) {
-        this.server = createServer((request, response) => void this.answer(request, response));
+        this.server = createServer((request, response) => void this.handleRequest(request, response));
     }
 
     /** Publishes a value under a key. */
@@ -43,19 +43,23 @@
         this.published.set(key, text);
     }
 
-    /** Begins to listen; gives the port. */
+    /**
+     * Starts listening.
+     *
+     * @returns The port.
+     */
     async listen(port = 0): Promise<number> {
         await new Promise<void>(resolve => this.server.listen(port, "127.0.0.1", resolve));
         return (this.server.address() as AddressInfo).port;
     }
 
-    /** Stops listening and breaks all connections. */
+    /** Stops listening and closes all connections. */
     async close(): Promise<void> {
         this.server.closeAllConnections();
         await new Promise<void>(resolve => this.server.close(() => resolve()));
     }
 
-    private async answer(request: IncomingMessage, response: ServerResponse): Promise<void> {
+    private async handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
         if (request.url === "/calls") {
             response.end(JSON.stringify({ calls: this.calls }));
             return;
@@ -63,21 +67,21 @@
         this.calls += 1;
         await wait(this.behaviour.delayMs ?? 0);
         const key = decodeURIComponent((request.url ?? "").replace(/^\/keys\//, ""));
-        const known = request.headers["if-none-match"];
+        const knownEtag = request.headers["if-none-match"];
         const untilMs = Date.now() + 1000 * Number(/wait=(\d+)/.exec(String(request.headers.prefer))?.[1] ?? 0);
-        while (known !== undefined && known === this.versionOf(key) && Date.now() < untilMs && !response.closed) {
-            await wait(pollMs);
+        while (knownEtag !== undefined && knownEtag === this.etagOf(key) && Date.now() < untilMs && !response.closed) {
+            await wait(filePollMs);
         }
         const { failStatus, garbage } = this.behaviour;
         const text = garbage ?? this.read(key);
         if (failStatus !== undefined || text === undefined) {
             response.writeHead(failStatus ?? 404).end();
         }
-        else if (known === this.versionOf(key)) {
-            response.writeHead(304, { etag: known }).end();
+        else if (knownEtag === this.etagOf(key)) {
+            response.writeHead(304, { etag: knownEtag }).end();
         }
         else {
-            response.writeHead(200, { "etag": this.versionOf(key) ?? "", "content-type": "text/plain" }).end(text);
+            response.writeHead(200, { "etag": this.etagOf(key) ?? "", "content-type": "text/plain" }).end(text);
         }
     }
 
@@ -93,7 +97,7 @@
         }
     }
 
-    private versionOf(key: string): string | undefined {
+    private etagOf(key: string): string | undefined {
         const text = this.behaviour.garbage ?? this.read(key);
         return text === undefined ? undefined : `"${createHash("sha256").update(text).digest("hex").slice(0, 16)}"`;
     }
--- a/packages/standin/src/program.ts
+++ b/packages/standin/src/program.ts
@@ -1,5 +1,5 @@
 /**
- * The program that runs one stand-in as a process of its own.
+ * The command-line program that runs a stand-in, a benchmark or a soak.
  *
  * @packageDocumentation
  */
@@ -13,11 +13,11 @@
 import { startPassThrough } from "./pass-through.js";
 import { PlatformStandin } from "./platform-standin.js";
 import { runSoak } from "./soak/soak.js";
-import { calmBehaviour } from "./upstream-behaviour.js";
+import { defaultUpstreamBehaviour } from "./upstream-behaviour.js";
 import { UpstreamStandin } from "./upstream-standin.js";
 
 const platform = defineCommand({
-    meta: { name: "platform", description: "Serve the files of a directory as the platform would" },
+    meta: { name: "platform", description: "Run a stand-in for the platform that serves the files of a directory" },
     args: {
         directory: { type: "string", required: true, description: "Directory of published files" },
         port: { type: "string", default: "0", description: "Port to listen on" },
@@ -29,13 +29,21 @@
 });
 
 const upstream = defineCommand({
-    meta: { name: "upstream", description: "Serve requests as an upstream would" },
+    meta: { name: "upstream", description: "Run a stand-in for an upstream" },
     args: {
-        name: { type: "string", required: true, description: "Name in its answers" },
+        name: { type: "string", required: true, description: "Name in its responses" },
         port: { type: "string", default: "0", description: "Port to listen on" },
         seed: { type: "string", default: "1", description: "Seed of its service times" },
-        slots: { type: "string", default: String(calmBehaviour.slots), description: "Requests served at the same time" },
-        meanServiceMs: { type: "string", default: String(calmBehaviour.meanServiceMs), description: "Mean service time" },
+        slots: {
+            type: "string",
+            default: String(defaultUpstreamBehaviour.slots),
+            description: "Number of requests that are served concurrently",
+        },
+        meanServiceMs: {
+            type: "string",
+            default: String(defaultUpstreamBehaviour.meanServiceMs),
+            description: "Mean service time in milliseconds",
+        },
     },
     run: async ({ args }) => {
         const behaviour = { slots: Number(args.slots), meanServiceMs: Number(args.meanServiceMs) };
@@ -45,8 +53,8 @@
 });
 
 const fastUpstreams = defineCommand({
-    meta: { name: "fast-upstreams", description: "Serve as several upstreams that answer at once" },
-    args: { count: { type: "string", default: "10", description: "How many" } },
+    meta: { name: "fast-upstreams", description: "Run several upstreams that respond immediately" },
+    args: { count: { type: "string", default: "10", description: "Number of upstreams" } },
     run: async ({ args }) => {
         const ports = await startFastUpstreams(Number(args.count));
         process.stdout.write(`${JSON.stringify({ ports })}\n`);
@@ -54,7 +62,7 @@
 });
 
 const passThrough = defineCommand({
-    meta: { name: "pass-through", description: "Pass requests on in turn: the benchmark's baseline" },
+    meta: { name: "pass-through", description: "Run a round-robin pass-through proxy, the baseline of the benchmark" },
     args: { ports: { type: "string", required: true, description: "Ports of the upstreams, separated by commas" } },
     run: async ({ args }) => {
         const port = await startPassThrough(args.ports.split(",").map(Number));
@@ -65,9 +73,9 @@
 const hostUpstreamsCommand = defineCommand({
     meta: { name: "host-upstreams", description: "Host several upstreams in one process" },
     args: {
-        first: { type: "string", required: true, description: "Number of the first" },
-        count: { type: "string", required: true, description: "How many" },
-        meanServiceMs: { type: "string", required: true, description: "Mean service time" },
+        first: { type: "string", required: true, description: "Number of the first upstream" },
+        count: { type: "string", required: true, description: "Number of upstreams" },
+        meanServiceMs: { type: "string", required: true, description: "Mean service time in milliseconds" },
     },
     run: ({ args }) => hostUpstreams(Number(args.first), Number(args.count), Number(args.meanServiceMs)),
 });
@@ -75,10 +83,10 @@
 const hostEntriesCommand = defineCommand({
     meta: { name: "host-entries", description: "Host several entry instances in one process" },
     args: {
-        first: { type: "string", required: true, description: "Number of the first" },
-        count: { type: "string", required: true, description: "How many" },
+        first: { type: "string", required: true, description: "Number of the first instance" },
+        count: { type: "string", required: true, description: "Number of instances" },
         platformPort: { type: "string", required: true, description: "Port of the platform" },
-        basePort: { type: "string", required: true, description: "Port between instances of instance 0" },
+        basePort: { type: "string", required: true, description: "Peers' port of instance 0" },
         zones: { type: "string", required: true, description: "Number of availability zones" },
     },
     run: ({ args }) =>
@@ -97,25 +105,25 @@
 });
 
 const benchFleet = defineCommand({
-    meta: { name: "bench-fleet", description: "Measure how a fleet acts together, by its size" },
+    meta: { name: "bench-fleet", description: "Measure propagation delay and cost of fleets of different sizes" },
     run: () => runFleetBench(),
 });
 
 const bench = defineCommand({
-    meta: { name: "bench", description: "Measure latency added, throughput, memory and the time of a decision" },
+    meta: { name: "bench", description: "Measure added latency, throughput, memory and the time of a decision" },
     run: () => runBench(),
 });
 
 const soak = defineCommand({
-    meta: { name: "soak", description: "Run real programs under faults, and check what callers and upstreams see" },
+    meta: { name: "soak", description: "Run real programs under faults and check what callers and upstreams observe" },
     args: {
-        seed: { type: "string", default: "1", description: "Seed of the faults; further ones follow with --runs" },
-        runs: { type: "string", default: "1", description: "How many seeds" },
-        seconds: { type: "string", default: "20", description: "For how long faults begin, for each seed" },
-        entries: { type: "string", default: "4", description: "Entry instances" },
-        upstreams: { type: "string", default: "5", description: "Upstreams" },
-        callers: { type: "string", default: "16", description: "Callers" },
-        basePort: { type: "string", default: "23000", description: "First of the ports of the instances" },
+        seed: { type: "string", default: "1", description: "Seed of the first run; each further run increments it" },
+        runs: { type: "string", default: "1", description: "Number of runs" },
+        seconds: { type: "string", default: "20", description: "Time within which faults start in each run, in seconds" },
+        entries: { type: "string", default: "4", description: "Number of entry instances" },
+        upstreams: { type: "string", default: "5", description: "Number of upstreams" },
+        callers: { type: "string", default: "16", description: "Number of callers" },
+        basePort: { type: "string", default: "23000", description: "First port of the instances, each of which uses three" },
     },
     run: async ({ args }) => {
         const first = Number(args.seed);
@@ -151,7 +159,7 @@
 });
 
 /**
- * Runs the stand-ins' program.
+ * Runs the program.
  *
  * @param args - Arguments without the program's name.
  */
--- a/packages/standin/src/quickstart.ts
+++ b/packages/standin/src/quickstart.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run quickstart`: a small fleet on this machine, shown at work.
+ * `npm run quickstart`: starts a small fleet on this machine and sends a few requests.
  *
  * @packageDocumentation
  */
@@ -15,7 +15,7 @@
 const platformPort = 9000;
 const entries = ["entry-1", "entry-2", "entry-3"];
 
-/** Stand-in upstreams as the example configuration names them; boarding is the slower kind. */
+/** The upstreams of the example configuration. */
 const upstreams: readonly (readonly [name: string, port: number, meanServiceMs: number])[] = [
     ["seating-1", 9101, 8],
     ["seating-2", 9102, 8],
@@ -28,7 +28,11 @@
     process.stdout.write(`${text}\n`);
 };
 
-/** Starts everything, shows a few requests and one explanation, and ends, unless asked to stay. */
+/**
+ * Starts the fleet, and prints the responses to a few requests and the explanation of one.
+ *
+ * @param stay - Whether the fleet runs on until the process is interrupted.
+ */
 export const runQuickstart = async (stay: boolean): Promise<void> => {
     const directory = await mkdtemp(join(tmpdir(), "quickstart-"));
     const children: Child[] = [];
@@ -76,7 +80,7 @@
         return startChild(programs.daemon, ["--settings", file]);
     }));
     await Promise.all(children.map(child => child.line("generation")));
-    await Promise.all(entries.map((_, index) => untilReady(`http://127.0.0.1:${9011 + index}/readyz`)));
+    await Promise.all(entries.map((_, index) => waitUntilReady(`http://127.0.0.1:${9011 + index}/readyz`)));
     write(`Started the entry instances ${entries.join(", ")}; each serves configuration generation 1.\n`);
     return children;
 };
@@ -93,14 +97,14 @@
         seedPorts: [9021],
     });
 
-const untilReady = async (url: string): Promise<void> => {
+const waitUntilReady = async (url: string): Promise<void> => {
     while ((await fetch(url)).status !== 200) {
         await new Promise(resolve => setTimeout(resolve, 50));
     }
 };
 
-interface Shown {
-    readonly what: string;
+interface SampleRequest {
+    readonly label: string;
     readonly method: string;
     readonly path: string;
     readonly entry: number;
@@ -108,23 +112,23 @@
     readonly body?: string;
 }
 
-const shown: readonly Shown[] = [
-    { what: "seat map", method: "GET", path: "/seats/OK123", entry: 1, headers: { "x-workspace": "hall-a" } },
-    { what: "seat map", method: "GET", path: "/seats/OK124", entry: 2, headers: { "x-workspace": "hall-b" } },
+const sampleRequests: readonly SampleRequest[] = [
+    { label: "seat map", method: "GET", path: "/seats/OK123", entry: 1, headers: { "x-workspace": "hall-a" } },
+    { label: "seat map", method: "GET", path: "/seats/OK124", entry: 2, headers: { "x-workspace": "hall-b" } },
     {
-        what: "boarding pass",
+        label: "boarding pass",
         method: "POST",
         path: "/boarding-passes",
         entry: 1,
         body: "seat 4A",
     },
-    { what: "seat map in 1 ms", method: "GET", path: "/seats/OK125", entry: 2, headers: { "x-request-timeout-ms": "1" } },
-    { what: "a path without a route", method: "GET", path: "/lost", entry: 1 },
+    { label: "seat map in 1 ms", method: "GET", path: "/seats/OK125", entry: 2, headers: { "x-request-timeout-ms": "1" } },
+    { label: "a path without a route", method: "GET", path: "/lost", entry: 1 },
 ];
 
 const showRequests = async (): Promise<void> => {
-    let explained = "";
-    for (const request of shown) {
+    let explainedRequestId = "";
+    for (const request of sampleRequests) {
         const response = await fetch(`http://127.0.0.1:${9000 + request.entry}${request.path}`, {
             method: request.method,
             headers: request.headers ?? {},
@@ -132,13 +136,15 @@
         });
         const text = await response.text();
         const outcome = response.headers.get("x-request-outcome") ?? "";
-        write(`${request.what} at ${entries[request.entry - 1]}: ${response.status}, ${outcome}`);
+        write(`${request.label} at ${entries[request.entry - 1]}: ${response.status}, ${outcome}`);
         write(`    ${text}`);
-        explained = request.what === "boarding pass" ? response.headers.get("x-harrierhitch-request-id") ?? "" : explained;
+        explainedRequestId = request.label === "boarding pass"
+            ? response.headers.get("x-harrierhitch-request-id") ?? ""
+            : explainedRequestId;
     }
     write(`\nWhy did the boarding pass go where it went? Asked at entry-2, decided at entry-1:\n`);
-    write(`$ harrierhitch explain ${explained} --instance 127.0.0.1:9012\n`);
-    write(await runProgram(programs.command, ["explain", explained, "--instance", "127.0.0.1:9012"]));
+    write(`$ harrierhitch explain ${explainedRequestId} --instance 127.0.0.1:9012\n`);
+    write(await runProgram(programs.command, ["explain", explainedRequestId, "--instance", "127.0.0.1:9012"]));
 };
 
 const showCommands = async (directory: string): Promise<void> => {
--- a/packages/standin/src/soak/entry-process.ts
+++ b/packages/standin/src/soak/entry-process.ts
@@ -1,5 +1,5 @@
 /**
- * One entry instance of a soak: the real program as a process of its own, at fixed ports over all its starts.
+ * One entry instance of a soak: the daemon in a process of its own, on the same ports after every restart.
  *
  * @packageDocumentation
  */
@@ -20,22 +20,22 @@
     readonly seedPorts: readonly number[];
 }
 
-/** What happens to it now. */
+/** State of the process. */
 export type EntryState = "running" | "paused" | "stopping" | "down";
 
-/** Starts, pauses and ends the process. */
+/** Starts, pauses, stops and kills the process of an entry instance. */
 export class EntryProcess {
     state: EntryState = "down";
-    /** Number of its start; a pause counts as one, since users excuse what a machine does right after one. */
+    /** Number of the current run; incremented by each start and after each pause, as an instance needs time to recover from both. */
     incarnation = 0;
-    /** The start that was stopped as planned last; remembered beyond its end, when its connections are seen to break. */
+    /** The incarnation of the last planned stop; still set after the process has exited, when its connections are closed. */
     stoppedIncarnation: number | undefined;
     private child: Child | undefined;
 
-    /** @param options - Name and ports. */
+    /** @param options - Name, directory and ports. */
     constructor(readonly options: EntryProcessOptions) {}
 
-    /** Starts it, and waits until it has a configuration. */
+    /** Starts the process and waits until it has accepted a configuration. */
     async start(): Promise<void> {
         const { name, directory, platformPort, callersPort, operatorsPort, peersPort, seedPorts } = this.options;
         const file = join(directory, `${name}.ini`);
@@ -63,25 +63,25 @@
         this.state = "running";
     }
 
-    /** Ends it at once. */
+    /** Kills the process with SIGKILL. */
     kill(): void {
         this.child?.process.kill("SIGKILL");
         this.state = "down";
     }
 
-    /** Stops it as planned, and waits for its end. */
+    /** Stops the process with SIGTERM and waits until it has exited. */
     async stop(): Promise<void> {
         this.state = "stopping";
         this.stoppedIncarnation = this.incarnation;
         await this.child?.stop();
     }
 
-    /** Pauses it for a while. */
-    async pause(forMs: number): Promise<void> {
+    /** Suspends the process with SIGSTOP for the given time, in milliseconds. */
+    async pause(durationMs: number): Promise<void> {
         const { child } = this;
         this.state = "paused";
         child?.process.kill("SIGSTOP");
-        await new Promise(resolve => setTimeout(resolve, forMs));
+        await new Promise(resolve => setTimeout(resolve, durationMs));
         child?.process.kill("SIGCONT");
         this.incarnation += 1;
         this.state = child === this.child ? "running" : this.state;
--- a/packages/standin/src/soak/fault-injector.ts
+++ b/packages/standin/src/soak/fault-injector.ts
@@ -1,5 +1,5 @@
 /**
- * Playing the faults of a soak.
+ * Injects the planned faults of a soak.
  *
  * @packageDocumentation
  */
@@ -10,92 +10,92 @@
 import type { FaultKind, PlannedFault } from "./fault-schedule.js";
 import type { SoakServers, SoakUpstream } from "./soak-servers.js";
 
-/** Time after which an instance that was killed is started again, in milliseconds. */
+/** Time from killing an instance to its restart, in milliseconds. */
 const restartMs = 200;
 
-/** Time for which a leaving upstream serves on, in milliseconds, beyond the fault's own. */
-const leavingMs = 3000;
+/** Time for which a draining upstream stays in the configuration, in milliseconds, in addition to the fault's duration. */
+const additionalDrainMs = 3000;
 
-/** Time for which an upstream names a limit, in milliseconds, beyond the fault's own. */
-const limitedMs = 6000;
+/** Time for which an upstream announces a rate limit, in milliseconds, in addition to the fault's duration. */
+const additionalLimitMs = 6000;
 
-/** Time that the fault lasts for each request a second that the upstream takes, in milliseconds: limits from one to five. */
-const limitFactorMs = 300;
+/** Fault duration in milliseconds per unit of the announced limit; results in limits of one to five requests per second. */
+const msPerLimitUnit = 300;
 
-/** Longest delay of a part on its way, in milliseconds: below what a caller notices as an outage. */
+/** Delay of each chunk, in milliseconds; short enough that no caller times out. */
 const delayMs = 120;
 
-const upstreamFaults: Partial<Record<FaultKind, (forMs: number) => Partial<UpstreamBehaviour>>> = {
+const upstreamFaults: Partial<Record<FaultKind, (durationMs: number) => Partial<UpstreamBehaviour>>> = {
     "upstream-hangs": () => ({ hang: true }),
     "upstream-resets": () => ({ reset: true }),
     "upstream-fails": () => ({ failStatus: 500 }),
     "upstream-slow": () => ({ slowness: 20 }),
-    "upstream-rests": forMs => ({ restMs: Math.round(forMs) + 1000 }),
+    "upstream-rests": durationMs => ({ restMs: Math.round(durationMs) + 1000 }),
 };
 
-const calm: Partial<UpstreamBehaviour> = { hang: false, reset: false, failStatus: 0, slowness: 1, restMs: 0 };
+const normalBehaviour: Partial<UpstreamBehaviour> = { hang: false, reset: false, failStatus: 0, slowness: 1, restMs: 0 };
 
-const wayFaults: Partial<Record<FaultKind, Partial<ProxyFault>>> = {
+const proxyFaults: Partial<Record<FaultKind, Partial<ProxyFault>>> = {
     "way-slow": { delayMs },
-    "way-deaf": { isDeaf: true },
-    "way-mute": { isMute: true },
+    "way-deaf": { dropsRequests: true },
+    "way-mute": { dropsResponses: true },
 };
 
-const wait = (forMs: number): Promise<void> => new Promise(resolve => setTimeout(resolve, Math.max(0, forMs)));
+const wait = (durationMs: number): Promise<void> => new Promise(resolve => setTimeout(resolve, Math.max(0, durationMs)));
 
-/** Plays faults at their times, so that they overlap. */
-export class SoakFaults {
-    private hasLeft = false;
+/** Injects faults at their planned times; faults may overlap. */
+export class FaultInjector {
+    private hasDrained = false;
     private isLimiting = false;
 
     /**
-     * @param entries - The instances.
-     * @param servers - Upstreams and platform.
+     * @param entries - The entry instances.
+     * @param servers - The upstreams and the platform.
      */
     constructor(private readonly entries: readonly EntryProcess[], private readonly servers: SoakServers) {}
 
-    /** Plays all of them; fulfilled when the last has ended and everything runs again. */
-    async play(faults: readonly PlannedFault[]): Promise<void> {
-        const beganAtMs = performance.now();
+    /** Injects all faults; resolves when the last one has ended and all processes run again. */
+    async injectAll(faults: readonly PlannedFault[]): Promise<void> {
+        const startedAtMs = performance.now();
         await Promise.all(faults.map(async fault => {
-            await wait(beganAtMs + fault.atMs - performance.now());
-            await this.strike(fault);
+            await wait(startedAtMs + fault.atMs - performance.now());
+            await this.inject(fault);
         }));
     }
 
-    private async strike({ kind, forMs, target }: PlannedFault): Promise<void> {
+    private async inject({ kind, durationMs, target }: PlannedFault): Promise<void> {
         const upstream = this.servers.upstreams[Math.floor(target * this.servers.upstreams.length)];
         const change = upstreamFaults[kind];
-        const way = wayFaults[kind];
+        const proxyFault = proxyFaults[kind];
         if (upstream !== undefined && change !== undefined) {
-            await this.misbehave(upstream, change(forMs), forMs);
+            await this.changeBehaviour(upstream, change(durationMs), durationMs);
         }
-        else if (upstream !== undefined && way !== undefined) {
-            this.servers.setWay(upstream, { ...noFault, ...way });
-            await wait(forMs);
-            this.servers.setWay(upstream, noFault);
+        else if (upstream !== undefined && proxyFault !== undefined) {
+            this.servers.setProxyFault(upstream, { ...noFault, ...proxyFault });
+            await wait(durationMs);
+            this.servers.setProxyFault(upstream, noFault);
         }
         else if (upstream !== undefined && kind === "way-reset") {
-            this.servers.resetWay(upstream);
+            this.servers.resetConnections(upstream);
         }
         else if (upstream !== undefined && kind === "upstream-leaves") {
-            await this.leave(upstream, forMs);
+            await this.drainUpstream(upstream, durationMs);
         }
         else if (upstream !== undefined && kind === "upstream-limits") {
-            await this.limit(upstream, forMs);
+            await this.limitUpstream(upstream, durationMs);
         }
         else {
-            await this.strikeOthers(kind, forMs, target);
+            await this.injectOther(kind, durationMs, target);
         }
     }
 
-    private async strikeOthers(kind: FaultKind, forMs: number, target: number): Promise<void> {
+    private async injectOther(kind: FaultKind, durationMs: number, target: number): Promise<void> {
         const { platform, platformProxy } = this.servers;
         switch (kind) {
             case "pause":
             case "kill":
             case "stop":
-                await this.strikeEntry(kind, forMs, target);
+                await this.injectEntryFault(kind, durationMs, target);
                 return;
             case "platform-fails":
                 platform.behaviour = { failStatus: 503 };
@@ -104,7 +104,7 @@
                 platform.behaviour = { garbage: "generation = [" };
                 break;
             case "platform-deaf":
-                platformProxy.fault = { ...noFault, isDeaf: true };
+                platformProxy.fault = { ...noFault, dropsRequests: true };
                 break;
             case "publish-older":
                 this.servers.publishOlder();
@@ -113,20 +113,20 @@
                 this.servers.publish();
                 return;
         }
-        await wait(forMs);
+        await wait(durationMs);
         platform.behaviour = {};
         platformProxy.fault = noFault;
     }
 
-    /** Strikes an instance that runs, unless it is the last one that does. */
-    private async strikeEntry(kind: "pause" | "kill" | "stop", forMs: number, target: number): Promise<void> {
+    /** Pauses, kills or stops a running instance, unless it is the only one. */
+    private async injectEntryFault(kind: "pause" | "kill" | "stop", durationMs: number, target: number): Promise<void> {
         const running = this.entries.filter(({ state }) => state === "running");
         const entry = running[Math.floor(target * running.length)];
         if (entry === undefined || running.length < 2) {
             return;
         }
         if (kind === "pause") {
-            await entry.pause(forMs);
+            await entry.pause(durationMs);
             return;
         }
         if (kind === "kill") {
@@ -139,33 +139,33 @@
         await entry.start();
     }
 
-    private async misbehave(upstream: SoakUpstream, change: Partial<UpstreamBehaviour>, forMs: number): Promise<void> {
-        this.servers.behave(upstream, change);
-        await wait(forMs);
-        this.servers.behave(upstream, calm);
+    private async changeBehaviour(upstream: SoakUpstream, change: Partial<UpstreamBehaviour>, durationMs: number): Promise<void> {
+        this.servers.changeBehaviour(upstream, change);
+        await wait(durationMs);
+        this.servers.changeBehaviour(upstream, normalBehaviour);
     }
 
-    /** An upstream names how little it takes, for long enough that it can be judged; one at a time, so that the others serve. */
-    private async limit(upstream: SoakUpstream, forMs: number): Promise<void> {
+    /** Makes an upstream announce a rate limit, long enough to be checked; only one at a time, so that the others can serve. */
+    private async limitUpstream(upstream: SoakUpstream, durationMs: number): Promise<void> {
         if (this.isLimiting) {
             return;
         }
         this.isLimiting = true;
-        this.servers.behave(upstream, { limitPerSecond: Math.round(forMs) / limitFactorMs });
-        await wait(forMs + limitedMs);
-        this.servers.behave(upstream, { limitPerSecond: undefined });
+        this.servers.changeBehaviour(upstream, { limitPerSecond: Math.round(durationMs) / msPerLimitUnit });
+        await wait(durationMs + additionalLimitMs);
+        this.servers.changeBehaviour(upstream, { limitPerSecond: undefined });
         this.isLimiting = false;
     }
 
-    /** One upstream of a soak leaves: it says so for a while, and is then taken out of the configuration. */
-    private async leave(upstream: SoakUpstream, forMs: number): Promise<void> {
-        if (this.hasLeft) {
+    /** Drains an upstream and then removes it from the configuration; at most one in a soak. */
+    private async drainUpstream(upstream: SoakUpstream, durationMs: number): Promise<void> {
+        if (this.hasDrained) {
             return;
         }
-        this.hasLeft = true;
-        this.servers.behave(upstream, { draining: true });
-        await wait(forMs + leavingMs);
-        upstream.isListed = false;
+        this.hasDrained = true;
+        this.servers.changeBehaviour(upstream, { draining: true });
+        await wait(durationMs + additionalDrainMs);
+        upstream.isConfigured = false;
         this.servers.publish();
     }
 }
--- a/packages/standin/src/soak/fault-proxy.ts
+++ b/packages/standin/src/soak/fault-proxy.ts
@@ -1,5 +1,5 @@
 /**
- * A proxy on loopback that delays, breaks and silences connections.
+ * A TCP proxy on loopback that delays, drops or resets traffic.
  *
  * @packageDocumentation
  */
@@ -7,31 +7,36 @@
 import { connect, createServer, type Server, type Socket } from "node:net";
 import type { AddressInfo } from "node:net";
 
-/** What it does to connections now. */
+/** Fault that a proxy injects into its connections. */
 export interface ProxyFault {
-    /** Holds every part back for so long, in milliseconds. */
+    /** Delay of each chunk in both directions, in milliseconds. */
     readonly delayMs: number;
-    /** Takes connections, and passes nothing on to the other side. */
-    readonly isDeaf: boolean;
-    /** Passes requests on, and no answers back. */
-    readonly isMute: boolean;
+    /** Accepts connections and discards what the client sends. */
+    readonly dropsRequests: boolean;
+    /** Forwards what the client sends and discards what the server returns. */
+    readonly dropsResponses: boolean;
 }
 
-/** Passes everything on as it comes. */
-export const noFault: ProxyFault = { delayMs: 0, isDeaf: false, isMute: false };
+/** Forwards everything without delay. */
+export const noFault: ProxyFault = { delayMs: 0, dropsRequests: false, dropsResponses: false };
 
-/** Stands between an instance and an upstream or the platform. */
+/** Forwards the connections between instances and an upstream or the platform. */
 export class FaultProxy {
+    /** The current fault; applies to open connections, too. */
     fault = noFault;
     private readonly sockets = new Set<Socket>();
     private readonly server: Server;
 
-    /** @param target - Port behind it. */
-    constructor(private readonly target: () => number) {
-        this.server = createServer(near => this.accept(near));
+    /** @param targetPort - Returns the port to which connections are forwarded. */
+    constructor(private readonly targetPort: () => number) {
+        this.server = createServer(client => this.forwardConnection(client));
     }
 
-    /** Begins to listen; gives the port. */
+    /**
+     * Starts listening.
+     *
+     * @returns The port.
+     */
     async listen(): Promise<number> {
         await new Promise<void>(resolve => this.server.listen(0, "127.0.0.1", resolve));
         return (this.server.address() as AddressInfo).port;
@@ -42,19 +47,19 @@
         this.sockets.forEach(socket => socket.resetAndDestroy());
     }
 
-    /** Ends it. */
+    /** Closes all connections and stops listening. */
     async close(): Promise<void> {
         this.sockets.forEach(socket => socket.destroy());
         await new Promise<void>(resolve => this.server.close(() => resolve()));
     }
 
-    private accept(near: Socket): void {
-        const far = connect({ host: "127.0.0.1", port: this.target() });
-        this.join(near, far, () => this.fault.isDeaf);
-        this.join(far, near, () => this.fault.isMute);
+    private forwardConnection(client: Socket): void {
+        const server = connect({ host: "127.0.0.1", port: this.targetPort() });
+        this.forward(client, server, () => this.fault.dropsRequests);
+        this.forward(server, client, () => this.fault.dropsResponses);
     }
 
-    private join(from: Socket, to: Socket, isCut: () => boolean): void {
+    private forward(from: Socket, to: Socket, isDropping: () => boolean): void {
         this.sockets.add(from);
         from.on("error", () => to.destroy());
         from.on("close", () => {
@@ -62,7 +67,7 @@
             to.destroy();
         });
         from.on("data", (chunk: Buffer) => {
-            if (isCut()) {
+            if (isDropping()) {
                 return;
             }
             const { delayMs } = this.fault;
--- a/packages/standin/src/soak/fault-schedule.ts
+++ b/packages/standin/src/soak/fault-schedule.ts
@@ -1,5 +1,5 @@
 /**
- * The faults of a soak, drawn from a seed: the same seed gives the same faults at the same times.
+ * Generates the faults of a soak; the same seed generates the same faults at the same times.
  *
  * @packageDocumentation
  */
@@ -32,33 +32,34 @@
 /** Kind of a fault. */
 export type FaultKind = typeof faultKinds[number];
 
-/** One fault. */
+/** A fault to inject. */
 export interface PlannedFault {
     readonly kind: FaultKind;
-    /** When it begins, from the start of the soak. */
+    /** Start of the fault, in milliseconds from the start of the soak. */
     readonly atMs: number;
-    readonly forMs: number;
-    /** Draws whom it strikes: at least 0 and below 1. */
+    /** Duration of the fault, in milliseconds. */
+    readonly durationMs: number;
+    /** Selects the affected instance or upstream: at least 0 and below 1. */
     readonly target: number;
 }
 
-/** Mean time between the beginnings of two faults, in milliseconds; most last longer, so they overlap. */
-const meanGapMs = 350;
+/** Mean time between the starts of two faults, in milliseconds; most faults last longer, so they overlap. */
+const meanIntervalMs = 350;
 
-/** Longest fault, in milliseconds. */
-const longestMs = 1500;
+/** Longest duration of a fault, in milliseconds. */
+const maximumFaultMs = 1500;
 
 /**
- * Draws the faults.
+ * Generates faults in the order of their start.
  *
- * @param random - Seeded random numbers.
- * @param forMs - For how long faults begin.
+ * @param random - Seeded source of random numbers.
+ * @param durationMs - Time within which faults start, in milliseconds.
  */
-export const drawFaults = (random: RandomSource, forMs: number): readonly PlannedFault[] => {
+export const generateFaults = (random: RandomSource, durationMs: number): readonly PlannedFault[] => {
     const faults: PlannedFault[] = [];
-    for (let atMs = 500; atMs < forMs; atMs += meanGapMs * 2 * random.next()) {
+    for (let atMs = 500; atMs < durationMs; atMs += meanIntervalMs * 2 * random.next()) {
         const kind = faultKinds[Math.floor(random.next() * faultKinds.length)] ?? "pause";
-        faults.push({ kind, atMs, forMs: longestMs * (0.2 + 0.8 * random.next()), target: random.next() });
+        faults.push({ kind, atMs, durationMs: maximumFaultMs * (0.2 + 0.8 * random.next()), target: random.next() });
     }
     return faults;
 };
--- a/packages/standin/src/soak/lag-monitor.ts
+++ b/packages/standin/src/soak/lag-monitor.ts
@@ -1,37 +1,37 @@
 /**
- * How late this process itself looks at what arrives, so that its own stalls count against nobody.
+ * Measures stalls of this process, so that its own delays are not reported as violations.
  *
  * @packageDocumentation
  */
 
-/** Time between two looks at the clock, in milliseconds. */
-const tickMs = 20;
+/** Time between two checks of the clock, in milliseconds. */
+const checkIntervalMs = 20;
 
-/** Time for which a stall is remembered, in milliseconds: longer than what it delayed takes to be worked off. */
-const rememberedMs = 3000;
+/** Time for which a stall is retained, in milliseconds; longer than the backlog of a stall takes to be processed. */
+const retentionMs = 3000;
 
-/** Measures by how much ticks come too late. */
-export class LagWatch {
+/** Measures the delay of a periodic timer. */
+export class LagMonitor {
     private stalls: readonly { readonly atMs: number; readonly lateMs: number; }[] = [];
-    private dueAtMs = performance.now() + tickMs;
-    private readonly timer = setInterval(() => this.look(), tickMs);
+    private dueAtMs = performance.now() + checkIntervalMs;
+    private readonly timer = setInterval(() => this.check(), checkIntervalMs);
 
-    /** Longest stall of the last seconds, in milliseconds. */
+    /** Longest stall within the retention time, in milliseconds. */
     get lagMs(): number {
-        this.look();
+        this.check();
         return Math.max(0, ...this.stalls.map(({ lateMs }) => lateMs));
     }
 
-    /** Ends the watch. */
+    /** Stops the timer. */
     stop(): void {
         clearInterval(this.timer);
     }
 
-    private look(): void {
+    private check(): void {
         const nowMs = performance.now();
         const lateMs = nowMs - this.dueAtMs;
-        this.dueAtMs = nowMs + tickMs;
-        const kept = this.stalls.filter(({ atMs }) => nowMs - atMs < rememberedMs);
-        this.stalls = lateMs > tickMs ? [...kept, { atMs: nowMs, lateMs }] : kept;
+        this.dueAtMs = nowMs + checkIntervalMs;
+        const recent = this.stalls.filter(({ atMs }) => nowMs - atMs < retentionMs);
+        this.stalls = lateMs > checkIntervalMs ? [...recent, { atMs: nowMs, lateMs }] : recent;
     }
 }
--- a/packages/standin/src/soak/limit-checker.ts
+++ b/packages/standin/src/soak/limit-checker.ts
@@ -1,77 +1,81 @@
 /**
- * Checks what upstreams get that name how many requests a second they take, summed over the instances that were told.
+ * Checks that upstreams which announce a rate limit receive no more requests than it allows, summed over the instances that
+ * have received the announcement.
  *
  * @packageDocumentation
  */
 
-import type { AskedByUpstream } from "../upstream-standin.js";
+import type { UpstreamAnnouncement } from "../upstream-standin.js";
 
-interface Limited {
+/** An announced rate limit and the requests that count towards it. */
+interface LimitState {
     readonly perSecond: number;
     readonly sinceMs: number;
-    /** When each instance, and start of it, was told. */
-    readonly toldAtMs: Map<string, number>;
+    /** Time from which the limit applies to each incarnation of an instance. */
+    readonly effectiveAtMs: Map<string, number>;
     arrivalsMs: number[];
-    isBroken: boolean;
+    isViolated: boolean;
 }
 
-/** The span in which requests are counted, in milliseconds: as users count. */
-const spanMs = 4000;
+/** Length of the sliding window in which requests are counted, in milliseconds. */
+const windowMs = 4000;
 
-/** Time after it names a limit from which spans count, in milliseconds: as users count. */
-const contactMs = 3000;
+/** Time after the announcement from which violations are reported, in milliseconds. */
+const settleMs = 3000;
 
-/** Time after a request that an instance counts as told by its answer, in milliseconds: users count half a second from the answer on. */
-const toldMs = 1500;
+/** Time after a request's arrival from which its instance is expected to have received the announcement, in milliseconds. */
+const propagationMs = 1500;
 
-/** Requests in a span that may come: as users count. */
-const allowedOf = (perSecond: number): number => perSecond * spanMs / 1000 * 1.5 + 5;
+/** Largest number of requests allowed within the window. */
+const maximumRequests = (perSecond: number): number => perSecond * windowMs / 1000 * 1.5 + 5;
 
-/** Keeps, of each upstream that names a limit, what it got since. */
-export class LimitWatch {
-    private readonly limited = new Map<string, Limited>();
+/** Counts the requests that arrive at each upstream with an announced rate limit. */
+export class LimitChecker {
+    private readonly limits = new Map<string, LimitState>();
 
-    /** @param onBroken - Told once of each limit that was passed. */
-    constructor(private readonly onBroken: (detail: string) => void) {}
+    /** @param onViolation - Called once for each announced limit that is exceeded. */
+    constructor(private readonly onViolation: (detail: string) => void) {}
 
     /**
-     * Notes a request.
+     * Records a request.
      *
-     * @param upstream - The upstream.
-     * @param entry - The instance that sent it, and which start of it.
-     * @param atMs - When it arrived.
-     * @param asks - What its answer asks for.
+     * @param upstream - The upstream at which it arrived.
+     * @param entry - The instance that sent it, with its incarnation.
+     * @param atMs - When it arrived, in milliseconds.
+     * @param announcement - What the response announces.
      */
-    note(upstream: string, entry: string, atMs: number, { limitPerSecond }: AskedByUpstream): void {
+    record(upstream: string, entry: string, atMs: number, { limitPerSecond }: UpstreamAnnouncement): void {
         if (limitPerSecond === undefined) {
-            this.limited.delete(upstream);
+            this.limits.delete(upstream);
             return;
         }
-        const known = this.limited.get(upstream);
-        const limited: Limited = known?.perSecond === limitPerSecond
-            ? known
-            : { perSecond: limitPerSecond, sinceMs: atMs, toldAtMs: new Map(), arrivalsMs: [], isBroken: false };
-        this.limited.set(upstream, limited);
-        const toldAtMs = limited.toldAtMs.get(entry);
-        if (toldAtMs === undefined) {
-            limited.toldAtMs.set(entry, atMs + toldMs);
+        const existing = this.limits.get(upstream);
+        const state: LimitState = existing?.perSecond === limitPerSecond
+            ? existing
+            : { perSecond: limitPerSecond, sinceMs: atMs, effectiveAtMs: new Map(), arrivalsMs: [], isViolated: false };
+        this.limits.set(upstream, state);
+        const effectiveAtMs = state.effectiveAtMs.get(entry);
+        if (effectiveAtMs === undefined) {
+            state.effectiveAtMs.set(entry, atMs + propagationMs);
         }
-        else if (atMs >= toldAtMs) {
-            limited.arrivalsMs = [...limited.arrivalsMs.filter(before => before > atMs - spanMs), atMs];
-            this.judge(upstream, limited, atMs);
+        else if (atMs >= effectiveAtMs) {
+            state.arrivalsMs = [...state.arrivalsMs.filter(before => before > atMs - windowMs), atMs];
+            this.check(upstream, state, atMs);
         }
     }
 
-    /** Forgets who was told, because answers may have been lost on their way. */
-    forget(upstream: string): void {
-        this.limited.delete(upstream);
+    /** Discards the state of an upstream, because responses with its announcement may have been lost. */
+    clear(upstream: string): void {
+        this.limits.delete(upstream);
     }
 
-    private judge(upstream: string, limited: Limited, atMs: number): void {
-        const { perSecond, sinceMs, arrivalsMs, isBroken } = limited;
-        if (!isBroken && atMs >= sinceMs + contactMs && arrivalsMs.length > allowedOf(perSecond)) {
-            limited.isBroken = true;
-            this.onBroken(`${upstream} takes ${perSecond} a second and got ${arrivalsMs.length} requests in ${spanMs} ms`);
+    private check(upstream: string, limited: LimitState, atMs: number): void {
+        const { perSecond, sinceMs, arrivalsMs, isViolated: isBroken } = limited;
+        if (!isBroken && atMs >= sinceMs + settleMs && arrivalsMs.length > maximumRequests(perSecond)) {
+            limited.isViolated = true;
+            this.onViolation(
+                `${upstream} announced a limit of ${perSecond} requests per second and received ${arrivalsMs.length} requests in ${windowMs} ms`,
+            );
         }
     }
 }
--- a/packages/standin/src/soak/soak-callers.ts
+++ b/packages/standin/src/soak/soak-callers.ts
@@ -1,5 +1,5 @@
 /**
- * Callers of a soak: each keeps using its open connection until the process at its other end is gone.
+ * Callers of a soak: each sends its requests one after the other over a persistent connection.
  *
  * @packageDocumentation
  */
@@ -7,121 +7,121 @@
 import type { RandomSource } from "@harrierhitch/core";
 import { Agent, request } from "node:http";
 import type { EntryProcess } from "./entry-process.js";
-import type { SeenAnswer, SoakJudge } from "./soak-checker.js";
+import type { ObservedResponse, SoakChecker } from "./soak-checker.js";
 
-/** Header that names the instance to which a caller sent its request; instances pass it on. */
+/** Header that names the instance to which a caller sent its request; instances forward it to the upstream. */
 export const entryHeader = "x-soak-entry";
 
-/** Time between two requests of one caller, in milliseconds: short, so that faults strike requests in flight. */
-const pauseMs = 15;
+/** Mean time between two requests of one caller, in milliseconds; short, so that faults affect requests in flight. */
+const requestIntervalMs = 15;
 
-/** Share of the requests that must not be repeated. */
+/** Share of the requests that are not repeatable. */
 const issueShare = 0.4;
 
 /** Options of {@link SoakCallers}. */
 export interface SoakCallersOptions {
     readonly random: RandomSource;
     readonly entries: readonly EntryProcess[];
-    readonly judge: SoakJudge;
+    readonly checker: SoakChecker;
     readonly callers: number;
 }
 
-/** Sends requests until it is told to end. */
+/** Sends requests until it is stopped. */
 export class SoakCallers {
     private sent = 0;
-    private ending = false;
+    private isStopping = false;
     private readonly tasks: readonly Promise<void>[];
 
-    /** @param options - Whom to ask, and who judges the answers. */
+    /** @param options - The instances to call, and the checker of the responses. */
     constructor(private readonly options: SoakCallersOptions) {
-        this.tasks = Array.from({ length: options.callers }, (_, index) => this.call(index));
+        this.tasks = Array.from({ length: options.callers }, (_, index) => this.runCaller(index));
     }
 
-    /** Lets every request in flight end, and sends no more. */
-    async end(): Promise<void> {
-        this.ending = true;
+    /** Sends no more requests and waits for those in flight. */
+    async stop(): Promise<void> {
+        this.isStopping = true;
         await Promise.all(this.tasks);
     }
 
-    /** Sends some reads to an instance, one after the other; gives their answers. */
-    async reads(entry: EntryProcess, count: number): Promise<readonly SeenAnswer[]> {
+    /** Sends repeatable requests to an instance, one after the other, and returns their responses. */
+    async sendReads(entry: EntryProcess, count: number): Promise<readonly ObservedResponse[]> {
         const agent = new Agent();
-        const answers: SeenAnswer[] = [];
-        while (answers.length < count) {
-            answers.push(await this.ask(entry, "GET", agent));
+        const responses: ObservedResponse[] = [];
+        while (responses.length < count) {
+            responses.push(await this.sendRequest(entry, "GET", agent));
         }
         agent.destroy();
-        return answers;
+        return responses;
     }
 
-    private async call(index: number): Promise<void> {
+    private async runCaller(index: number): Promise<void> {
         const { random, entries } = this.options;
         const agent = new Agent({ keepAlive: true, maxSockets: 1 });
-        for (let number = index; !this.ending; number += 1) {
-            // A caller stays with one instance, and changes when its connection breaks.
+        for (let number = index; !this.isStopping; number += 1) {
+            // Each caller sends to one instance.
             const entry = entries[index % entries.length];
             const method = random.next() < issueShare ? "POST" : "GET";
-            const answer = entry === undefined ? undefined : await this.ask(entry, method, agent);
-            const waitMs = answer?.status === undefined ? pauseMs * 5 : pauseMs;
+            const response = entry === undefined ? undefined : await this.sendRequest(entry, method, agent);
+            const waitMs = response?.status === undefined ? requestIntervalMs * 5 : requestIntervalMs;
             await new Promise(resolve => setTimeout(resolve, waitMs * (0.5 + random.next())));
         }
         agent.destroy();
     }
 
-    private async ask(entry: EntryProcess, method: "GET" | "POST", agent: Agent): Promise<SeenAnswer> {
+    private async sendRequest(entry: EntryProcess, method: "GET" | "POST", agent: Agent): Promise<ObservedResponse> {
         this.sent += 1;
         const number = `r${this.sent}`;
         const { incarnation } = entry;
         const sentAtMs = performance.now();
-        const { status, outcome, isOwn } = await exchange(entry, method, number, agent);
-        const answer: SeenAnswer = {
+        const { status, outcome, isCorrect } = await sendAndReceive(entry, method, number, agent);
+        const response: ObservedResponse = {
             number,
             method,
             entry: entry.options.name,
             incarnation,
             status,
             outcome,
-            isOwn,
-            tookMs: performance.now() - sentAtMs,
+            isCorrect,
+            durationMs: performance.now() - sentAtMs,
             duringPlannedStop: entry.stoppedIncarnation === incarnation,
         };
-        this.options.judge.noteAnswer(answer);
-        return answer;
+        this.options.checker.recordResponse(response);
+        return response;
     }
 }
 
-type Exchanged = Pick<SeenAnswer, "status" | "outcome" | "isOwn">;
+type ResponseSummary = Pick<ObservedResponse, "status" | "outcome" | "isCorrect">;
 
-const exchange = (
+const sendAndReceive = (
     { options: { name, callersPort } }: EntryProcess,
     method: "GET" | "POST",
     number: string,
     agent: Agent,
-): Promise<Exchanged> =>
+): Promise<ResponseSummary> =>
     new Promise(resolve => {
         const path = method === "GET" ? `/read/${number}` : "/issue";
         const headers = { "x-request-number": number, [entryHeader]: name };
-        const broken = (): void => resolve({ status: undefined, outcome: undefined, isOwn: false });
+        const resolveLost = (): void => resolve({ status: undefined, outcome: undefined, isCorrect: false });
         const outgoing = request({ agent, host: "127.0.0.1", port: callersPort, method, path, headers }, response => {
-            const parts: Buffer[] = [];
-            response.on("data", (part: Buffer) => parts.push(part));
-            response.on("error", broken);
-            response.on("close", () => response.complete ? undefined : broken());
+            const chunks: Buffer[] = [];
+            response.on("data", (chunk: Buffer) => chunks.push(chunk));
+            response.on("error", resolveLost);
+            response.on("close", () => response.complete ? undefined : resolveLost());
             response.on("end", () => {
-                const isOwn = response.statusCode === 200 && belongsTo(Buffer.concat(parts).toString("utf8"), number);
-                resolve({ status: response.statusCode, outcome: String(response.headers["x-request-outcome"] ?? ""), isOwn });
+                const isCorrect = response.statusCode === 200 && isResponseTo(Buffer.concat(chunks).toString("utf8"), number);
+                resolve({ status: response.statusCode, outcome: String(response.headers["x-request-outcome"] ?? ""), isCorrect });
             });
         });
-        outgoing.on("error", broken);
+        outgoing.on("error", resolveLost);
         outgoing.end(method === "POST" ? "body" : undefined);
     });
 
-const belongsTo = (body: string, number: string): boolean => {
+const isResponseTo = (body: string, number: string): boolean => {
     try {
         return (JSON.parse(body) as { readonly key?: string; }).key === number;
     }
     catch {
-        // What cannot be read is not the whole answer, which is what the judge is told.
+        // A body that cannot be parsed is incomplete.
         return false;
     }
 };
--- a/packages/standin/src/soak/soak-checker.ts
+++ b/packages/standin/src/soak/soak-checker.ts
@@ -1,31 +1,32 @@
 /**
- * What a soak checks, from what callers and upstreams see.
+ * Checks the guarantees of the load balancer against what callers and upstreams observe during a soak.
  *
  * @packageDocumentation
  */
 
-import type { AskedByUpstream } from "../upstream-standin.js";
-import { LimitWatch } from "./limit-checker.js";
+import type { UpstreamAnnouncement } from "../upstream-standin.js";
+import { LimitChecker } from "./limit-checker.js";
 
-/** What a caller saw of one request. */
-export interface SeenAnswer {
+/** What a caller observed of one request. */
+export interface ObservedResponse {
     /** Number of the request; each is sent once. */
     readonly number: string;
     readonly method: "GET" | "POST";
-    /** Name of the entry instance, and which start of it. */
+    /** Name of the entry instance. */
     readonly entry: string;
+    /** Incarnation of the entry instance. */
     readonly incarnation: number;
-    /** Status; `undefined` where the connection broke. */
+    /** HTTP status; `undefined` if the connection was lost. */
     readonly status: number | undefined;
     readonly outcome: string | undefined;
-    /** Whether the body is whole and the one that belongs to the request; meaningful with status 200. */
-    readonly isOwn: boolean;
-    readonly tookMs: number;
-    /** Whether the entry was being stopped as planned when the connection broke, with no fault of it besides. */
+    /** Whether the body is complete and belongs to the request; meaningful with status 200. */
+    readonly isCorrect: boolean;
+    readonly durationMs: number;
+    /** Whether this incarnation of the entry instance was stopped as planned when the request ended. */
     readonly duringPlannedStop: boolean;
 }
 
-/** A promise that was broken. */
+/** A guarantee that was violated. */
 export interface Violation {
     readonly promise:
         | "whole"
@@ -41,143 +42,160 @@
     readonly detail: string;
 }
 
-interface Asked {
+/** A backoff or drain that an instance received from an upstream, and the requests that arrived in spite of it. */
+interface Announcement {
     readonly atMs: number;
     readonly untilMs: number;
     readonly incarnation: number;
     arrivals: number;
 }
 
-/** Time after an answer within which requests may arrive that were sent before it was heard, in milliseconds: as users count. */
-const onTheWayMs = 500;
+/** Time within which requests may arrive that were sent before the instance received the backoff, in milliseconds. */
+const inFlightGraceMs = 500;
 
-/** Requests that may reach a resting upstream after that time: as users count. */
-const restAllowance = 2;
+/** Number of requests from one instance that may still arrive during a backoff. */
+const backoffAllowance = 2;
 
-/** Time after its own word by which a leaving upstream gets no more requests: the bound that users set. */
-const leavingMs = 2000;
+/** Time after its announcement from which a draining upstream must receive no more requests, in milliseconds. */
+const drainDeadlineMs = 2000;
 
-/** Keeps what was seen, and tells what was broken. */
-export class SoakJudge {
+/** Records what callers and upstreams observe, and reports violations. */
+export class SoakChecker {
     readonly violations: Violation[] = [];
-    private readonly answers: SeenAnswer[] = [];
-    private readonly rests = new Map<string, Asked>();
-    private readonly leaving = new Map<string, Asked>();
-    private readonly limits = new LimitWatch(detail => this.break("limit", detail));
+    private readonly responses: ObservedResponse[] = [];
+    private readonly backoffs = new Map<string, Announcement>();
+    private readonly drains = new Map<string, Announcement>();
+    private readonly limitChecker = new LimitChecker(detail => this.addViolation("limit", detail));
     private readonly generations = new Map<string, number>();
 
     /**
-     * @param longestMs - Longest time that a request may take to its answer.
-     * @param lagMs - How late the process that judges has looked lately, in milliseconds.
+     * @param maximumDurationMs - Longest time until a request must be answered, in milliseconds.
+     * @param lagMs - Returns the longest recent stall of this process, in milliseconds.
      */
-    constructor(private readonly longestMs: number, private readonly lagMs: () => number = () => 0) {}
+    constructor(private readonly maximumDurationMs: number, private readonly lagMs: () => number = () => 0) {}
 
-    /** Requests that were answered with 200. */
+    /** Number of requests that were answered with 200. */
     get served(): number {
-        return this.answers.filter(({ status }) => status === 200).length;
+        return this.responses.filter(({ status }) => status === 200).length;
     }
 
-    /** Requests that have ended, however. */
+    /** Number of requests that have ended, with or without a response. */
     get ended(): number {
-        return this.answers.length;
+        return this.responses.length;
     }
 
-    /** Notes what a caller saw. */
-    noteAnswer(answer: SeenAnswer): void {
-        this.answers.push(answer);
-        const { number, status, isOwn, tookMs, entry } = answer;
-        if (status === 200 && !isOwn) {
-            this.break("whole", `${number} at ${entry} got another answer, or not the whole one`);
+    /** Records what a caller observed. */
+    recordResponse(response: ObservedResponse): void {
+        this.responses.push(response);
+        const { number, status, isCorrect, durationMs, entry } = response;
+        if (status === 200 && !isCorrect) {
+            this.addViolation("whole", `${number} at ${entry} received the response to another request, or an incomplete one`);
         }
-        if (tookMs > this.longestMs + this.lagMs()) {
-            this.break("answered", `${number} at ${entry} took ${Math.round(tookMs)} ms`);
+        if (durationMs > this.maximumDurationMs + this.lagMs()) {
+            this.addViolation("answered", `${number} at ${entry} took ${Math.round(durationMs)} ms`);
         }
     }
 
     /**
-     * Notes a request that arrives at an upstream, with what its answer asks of the instance.
+     * Records a request that arrives at an upstream, with what its response announces to the instance.
      *
      * @param upstream - The upstream.
-     * @param entry - The instance that sent it, and which start of it; one that slept meanwhile is another start to this check.
-     * @param atMs - When it arrived.
-     * @param asks - What its answer asks for.
+     * @param entry - The instance that sent it; an instance that was paused since has another incarnation.
+     * @param atMs - When it arrived, in milliseconds.
+     * @param announced - What the response announces.
      */
-    noteArrival(
+    recordArrival(
         upstream: string,
         entry: { readonly name: string; readonly incarnation: number; },
         atMs: number,
-        asks: AskedByUpstream,
+        announced: UpstreamAnnouncement,
     ): void {
-        this.limits.note(upstream, `${entry.name} ${entry.incarnation}`, atMs, asks);
-        const pair = `${entry.name} ${upstream}`;
-        const rest = this.rests.get(pair);
-        if (rest?.incarnation === entry.incarnation && atMs > rest.atMs + onTheWayMs + this.lagMs() && atMs < rest.untilMs) {
-            rest.arrivals += 1;
-            if (rest.arrivals === restAllowance + 1) {
-                this.break("rest", `${upstream} got ${rest.arrivals} requests of ${entry.name} while it rested`);
+        this.limitChecker.record(upstream, `${entry.name} ${entry.incarnation}`, atMs, announced);
+        const key = `${entry.name} ${upstream}`;
+        const backoff = this.backoffs.get(key);
+        if (
+            backoff?.incarnation === entry.incarnation && atMs > backoff.atMs + inFlightGraceMs + this.lagMs()
+            && atMs < backoff.untilMs
+        ) {
+            backoff.arrivals += 1;
+            if (backoff.arrivals === backoffAllowance + 1) {
+                this.addViolation(
+                    "rest",
+                    `${upstream} received ${backoff.arrivals} requests from ${entry.name} during its backoff`,
+                );
             }
         }
-        const left = this.leaving.get(pair);
-        if (left?.incarnation === entry.incarnation && atMs > left.atMs + leavingMs + this.lagMs()) {
-            this.break("leaving", `${upstream} got a request of ${entry.name} ${Math.round(atMs - left.atMs)} ms after its word`);
+        const drain = this.drains.get(key);
+        if (drain?.incarnation === entry.incarnation && atMs > drain.atMs + drainDeadlineMs + this.lagMs()) {
+            this.addViolation(
+                "leaving",
+                `${upstream} received a request from ${entry.name} ${Math.round(atMs - drain.atMs)} ms after it began to drain`,
+            );
         }
-        if (asks.restMs > 0 && !(rest?.incarnation === entry.incarnation && atMs < rest.untilMs)) {
-            this.rests.set(pair, { atMs, untilMs: atMs + asks.restMs, incarnation: entry.incarnation, arrivals: 0 });
+        if (announced.backoffMs > 0 && !(backoff?.incarnation === entry.incarnation && atMs < backoff.untilMs)) {
+            this.backoffs.set(key, { atMs, untilMs: atMs + announced.backoffMs, incarnation: entry.incarnation, arrivals: 0 });
         }
-        if (asks.leaving && left?.incarnation !== entry.incarnation) {
-            this.leaving.set(pair, { atMs, untilMs: Infinity, incarnation: entry.incarnation, arrivals: 0 });
+        if (announced.isDraining && drain?.incarnation !== entry.incarnation) {
+            this.drains.set(key, { atMs, untilMs: Infinity, incarnation: entry.incarnation, arrivals: 0 });
         }
     }
 
-    /** Forgets what an upstream asked for: the answers that said so may have been lost on their way. */
-    forgetAsked(upstream: string): void {
-        this.limits.forget(upstream);
-        [this.rests, this.leaving].forEach(asked =>
-            [...asked.keys()].filter(pair => pair.endsWith(` ${upstream}`)).forEach(pair => asked.delete(pair))
+    /** Discards what an upstream has announced, because responses with the announcement may have been lost. */
+    clearAnnouncements(upstream: string): void {
+        this.limitChecker.clear(upstream);
+        [this.backoffs, this.drains].forEach(announcements =>
+            [...announcements.keys()].filter(key => key.endsWith(` ${upstream}`)).forEach(pair => announcements.delete(pair))
         );
     }
 
-    /** Notes the generation that a start of an instance says is in force. */
-    noteGeneration(entry: string, incarnation: number, generation: number): void {
-        const name = `${entry} ${incarnation}`;
-        const before = this.generations.get(name) ?? 0;
-        if (generation < before) {
-            this.break("configuration", `${entry} went back from generation ${before} to ${generation}`);
+    /** Records the configuration generation that an incarnation of an instance reports as active. */
+    recordGeneration(entry: string, incarnation: number, generation: number): void {
+        const key = `${entry} ${incarnation}`;
+        const highest = this.generations.get(key) ?? 0;
+        if (generation < highest) {
+            this.addViolation("configuration", `${entry} reverted from generation ${highest} to ${generation}`);
         }
-        this.generations.set(name, Math.max(before, generation));
+        this.generations.set(key, Math.max(highest, generation));
     }
 
-    /** Notes the answers to requests after the last fault, all of which have to be served. */
-    noteRecovery(answers: readonly SeenAnswer[]): void {
-        const lost = answers.filter(({ status }) => status !== 200);
-        if (lost.length > 0) {
-            const details = lost.map(({ number, entry, status, outcome }) => `${number} at ${entry}: ${status} ${outcome}`);
-            this.break("recovery", `${lost.length} of ${answers.length} requests after the last fault: ${details.join(", ")}`);
+    /** Records the responses to requests after the last fault; all of them must have status 200. */
+    recordRecovery(responses: readonly ObservedResponse[]): void {
+        const failed = responses.filter(({ status }) => status !== 200);
+        if (failed.length > 0) {
+            const details = failed.map(({ number, entry, status, outcome }) => `${number} at ${entry}: ${status} ${outcome}`);
+            this.addViolation(
+                "recovery",
+                `${failed.length} of ${responses.length} requests failed after the last fault: ${details.join(", ")}`,
+            );
         }
     }
 
     /**
-     * Judges what can be told only in the end.
+     * Runs the checks that need the complete soak.
      *
-     * @param runsOf - How often upstreams ran a request.
+     * @param runCountOf - Returns how often upstreams ran the request with a number.
+     * @returns All violations.
      */
-    finish(runsOf: (number: string) => number): readonly Violation[] {
-        this.answers.forEach(({ number, method, entry, status, outcome, duringPlannedStop }) => {
-            const runs = runsOf(number);
-            if (method === "POST" && runs > 1) {
-                this.break("once", `${number} at ${entry} ran ${runs} times`);
+    finish(runCountOf: (number: string) => number): readonly Violation[] {
+        this.responses.forEach(({ number, method, entry, status, outcome, duringPlannedStop }) => {
+            const runCount = runCountOf(number);
+            if (method === "POST" && runCount > 1) {
+                this.addViolation("once", `${number} at ${entry} ran ${runCount} times`);
             }
-            if (outcome === "not-run" && runs > 0) {
-                this.break("not-run", `${number} at ${entry} was answered ${status} as not run, and ran ${runs} times`);
+            if (outcome === "not-run" && runCount > 0) {
+                this.addViolation(
+                    "not-run",
+                    `${number} at ${entry} was answered ${status} with outcome not-run, but ran ${runCount} times`,
+                );
             }
-            if (status === undefined && duringPlannedStop && runs > 0) {
-                this.break("stop", `${number} was cut off by the planned stop of ${entry}`);
+            if (status === undefined && duringPlannedStop && runCount > 0) {
+                this.addViolation("stop", `${number} was aborted by the planned stop of ${entry}`);
             }
         });
         return this.violations;
     }
 
-    private break(promise: Violation["promise"], detail: string): void {
+    private addViolation(promise: Violation["promise"], detail: string): void {
         this.violations.push({ promise, detail });
     }
 }
--- a/packages/standin/src/soak/soak-servers.ts
+++ b/packages/standin/src/soak/soak-servers.ts
@@ -1,5 +1,5 @@
 /**
- * The upstreams and the platform of a soak, each behind a proxy that can fail.
+ * The upstreams and the platform of a soak, each behind a proxy that injects faults.
  *
  * @packageDocumentation
  */
@@ -7,36 +7,36 @@
 import type { IncomingMessage } from "node:http";
 import { PlatformStandin } from "../platform-standin.js";
 import type { UpstreamBehaviour } from "../upstream-behaviour.js";
-import { type AskedByUpstream, asksNothing, upstreamProbePath, UpstreamStandin } from "../upstream-standin.js";
+import { noAnnouncement, type UpstreamAnnouncement, upstreamProbePath, UpstreamStandin } from "../upstream-standin.js";
 import type { EntryProcess } from "./entry-process.js";
 import { FaultProxy, type ProxyFault } from "./fault-proxy.js";
 import { entryHeader } from "./soak-callers.js";
-import type { SoakJudge } from "./soak-checker.js";
+import type { SoakChecker } from "./soak-checker.js";
 
 /** Options of {@link SoakServers}. */
 export interface SoakServersOptions {
     readonly upstreams: number;
     readonly entries: number;
-    readonly judge: SoakJudge;
+    readonly checker: SoakChecker;
 }
 
-/** One upstream with the way to it. */
+/** An upstream and the proxy in front of it. */
 export interface SoakUpstream {
     readonly name: string;
     readonly standin: UpstreamStandin;
     readonly proxy: FaultProxy;
     port: number;
     proxyPort: number;
-    /** Whether the configuration still names it. */
-    isListed: boolean;
+    /** Whether the published configuration contains the upstream. */
+    isConfigured: boolean;
 }
 
-/** Share of the answers in which upstreams say what nobody can read, or close their connection. */
-const chatter = 0.03;
+/** Share of the responses that have an invalid header and close their connection. */
+const chatterShare = 0.03;
 
-const calm: Partial<UpstreamBehaviour> = { meanServiceMs: 8, chatter };
+const initialBehaviour: Partial<UpstreamBehaviour> = { meanServiceMs: 8, chatter: chatterShare };
 
-/** Runs them in this process. */
+/** Runs the upstreams and the platform in this process. */
 export class SoakServers {
     readonly upstreams: readonly SoakUpstream[];
     readonly platform = new PlatformStandin();
@@ -45,26 +45,26 @@
     private generation = 0;
     private entries: readonly EntryProcess[] = [];
 
-    /** @param options - How many, and who judges. */
+    /** @param options - Numbers of upstreams and entry instances, and the checker. */
     constructor(private readonly options: SoakServersOptions) {
         this.platformProxy = new FaultProxy(() => this.platformPort);
         this.upstreams = Array.from({ length: options.upstreams }, (_, index) => {
-            const standin = new UpstreamStandin(`main-${index + 1}`, calm, index + 1);
+            const standin = new UpstreamStandin(`main-${index + 1}`, initialBehaviour, index + 1);
             const upstream: SoakUpstream = {
                 name: `main-${index + 1}`,
                 standin,
                 proxy: new FaultProxy(() => upstream.port),
                 port: 0,
                 proxyPort: 0,
-                isListed: true,
+                isConfigured: true,
             };
             standin.countsReads = true;
-            standin.onArrival = (request, asks) => this.noteArrival(upstream, request, asks);
+            standin.onArrival = (request, announced) => this.recordArrival(upstream, request, announced);
             return upstream;
         });
     }
 
-    /** Begins to listen, and publishes the first configuration. */
+    /** Starts listening and publishes the first configuration. */
     async start(): Promise<{ readonly platformPort: number; }> {
         await Promise.all(this.upstreams.map(async upstream => {
             upstream.port = await upstream.standin.listen();
@@ -75,8 +75,8 @@
         return { platformPort: await this.platformProxy.listen() };
     }
 
-    /** Tells whose requests arrive. */
-    knowEntries(entries: readonly EntryProcess[]): void {
+    /** Sets the entry instances, to which arriving requests are attributed. */
+    setEntries(entries: readonly EntryProcess[]): void {
         this.entries = entries;
     }
 
@@ -86,34 +86,34 @@
         this.platform.publish("configuration", this.configuration(this.generation));
     }
 
-    /** Publishes an earlier generation, as a platform that has lost something might. */
+    /** Publishes the previous generation, as a platform that has lost writes would. */
     publishOlder(): void {
         this.platform.publish("configuration", this.configuration(Math.max(1, this.generation - 1)));
     }
 
-    /** Changes how an upstream behaves; a rest that it asked for before holds to its end. */
-    behave(upstream: SoakUpstream, change: Partial<UpstreamBehaviour>): void {
+    /** Changes the behaviour of an upstream; backoffs that it has already announced remain in effect. */
+    changeBehaviour(upstream: SoakUpstream, change: Partial<UpstreamBehaviour>): void {
         upstream.standin.behaviour = { ...upstream.standin.behaviour, ...change };
     }
 
-    /** Changes what happens on the way to an upstream; answers that are lost there ask for nothing. */
-    setWay({ name, proxy }: SoakUpstream, fault: ProxyFault): void {
+    /** Sets the fault of the proxy of an upstream, and discards announcements that may be lost because of it. */
+    setProxyFault({ name, proxy }: SoakUpstream, fault: ProxyFault): void {
         proxy.fault = fault;
-        this.options.judge.forgetAsked(name);
+        this.options.checker.clearAnnouncements(name);
     }
 
-    /** Breaks all connections on the way to an upstream. */
-    resetWay({ name, proxy }: SoakUpstream): void {
+    /** Resets all connections to an upstream. */
+    resetConnections({ name, proxy }: SoakUpstream): void {
         proxy.reset();
-        this.options.judge.forgetAsked(name);
+        this.options.checker.clearAnnouncements(name);
     }
 
-    /** How often upstreams ran a request. */
-    runsOf(number: string): number {
+    /** Returns how often upstreams ran the request with a number. */
+    runCountOf(number: string): number {
         return this.upstreams.reduce((sum, { standin }) => sum + (standin.runs.get(number) ?? 0), 0);
     }
 
-    /** Ends everything. */
+    /** Closes the upstreams, the platform and the proxies. */
     async close(): Promise<void> {
         const proxies = [this.platformProxy, ...this.upstreams.map(({ proxy }) => proxy)];
         await Promise.all([
@@ -123,21 +123,21 @@
         ]);
     }
 
-    private noteArrival(
+    private recordArrival(
         { name, proxy }: SoakUpstream,
         request: IncomingMessage,
-        asks: AskedByUpstream,
+        asks: UpstreamAnnouncement,
     ): void {
         const entry = this.entries.find(({ options }) => options.name === request.headers[entryHeader]);
         if (entry !== undefined) {
-            const heard = proxy.fault.isMute || proxy.fault.isDeaf ? asksNothing : asks;
+            const received = proxy.fault.dropsResponses || proxy.fault.dropsRequests ? noAnnouncement : asks;
             const { incarnation, options } = entry;
-            this.options.judge.noteArrival(name, { name: options.name, incarnation }, performance.now(), heard);
+            this.options.checker.recordArrival(name, { name: options.name, incarnation }, performance.now(), received);
         }
     }
 
     private configuration(generation: number): string {
-        const listed = this.upstreams.filter(({ isListed }) => isListed);
+        const configured = this.upstreams.filter(({ isConfigured: isListed }) => isListed);
         return [
             `generation = ${generation}`,
             "[fleet]",
@@ -155,7 +155,7 @@
             "[service.main]",
             "policy = main",
             `probePath = ${upstreamProbePath}`,
-            ...listed.map(({ name, proxyPort }) =>
+            ...configured.map(({ name, proxyPort }) =>
                 `[upstream.${name}]\nservice = main\naddress = 127.0.0.1\nport = ${proxyPort}\navailabilityZone = zone-0`
             ),
             "[route.read]\nmethod = GET\npath = /read/*\nservice = main\nkind = read",
--- a/packages/standin/src/soak/soak.ts
+++ b/packages/standin/src/soak/soak.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run soak`: real programs, faults from outside them, and checks of what callers and upstreams see.
+ * `npm run soak`: runs the real programs under injected faults and checks what callers and upstreams observe.
  *
  * @packageDocumentation
  */
@@ -9,26 +9,26 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { EntryProcess } from "./entry-process.js";
-import { SoakFaults } from "./fault-injector.js";
-import { drawFaults } from "./fault-schedule.js";
-import { LagWatch } from "./lag-monitor.js";
+import { FaultInjector } from "./fault-injector.js";
+import { generateFaults } from "./fault-schedule.js";
+import { LagMonitor } from "./lag-monitor.js";
 import { SoakCallers } from "./soak-callers.js";
-import { SoakJudge, type Violation } from "./soak-checker.js";
+import { SoakChecker, type Violation } from "./soak-checker.js";
 import { SoakServers } from "./soak-servers.js";
 
 /** Options of {@link runSoak}. */
 export interface SoakOptions {
     readonly seed: number;
-    /** For how long faults begin. */
+    /** Time within which faults start. */
     readonly seconds: number;
     readonly entries: number;
     readonly upstreams: number;
     readonly callers: number;
-    /** First of the ports of the instances, three for each. */
+    /** First port of the instances, each of which uses three consecutive ports. */
     readonly basePort: number;
 }
 
-/** What a soak found. */
+/** Result of a soak. */
 export interface SoakResult {
     readonly violations: readonly Violation[];
     readonly requests: number;
@@ -36,24 +36,24 @@
     readonly faults: number;
 }
 
-/** Longest time to an answer: the time-out of a request, the longest pause of an instance, and as much again. */
-const longestAnswerMs = 7000;
+/** Longest time until a request must be answered, in milliseconds: allows for the request's timeout and for paused instances. */
+const maximumResponseMs = 7000;
 
-/** Time after the last fault within which everyone is served again, in milliseconds. */
+/** Time after the last fault within which all requests must be served again, in milliseconds. */
 const recoveryMs = 6000;
 
-/** Reads by which that is shown, for each instance. */
+/** Number of requests that are sent to each instance to check the recovery. */
 const recoveryReads = 20;
 
-/** Time between two looks at the generations in force, in milliseconds. */
-const generationsMs = 250;
+/** Time between two polls of the active configuration generations, in milliseconds. */
+const generationPollMs = 250;
 
-/** Runs one soak to its end. */
+/** Runs one soak. */
 export const runSoak = async ({ seed, seconds, entries, upstreams, callers, basePort }: SoakOptions): Promise<SoakResult> => {
     const directory = await mkdtemp(join(tmpdir(), "soak-"));
-    const lag = new LagWatch();
-    const judge = new SoakJudge(longestAnswerMs, () => lag.lagMs);
-    const servers = new SoakServers({ upstreams, entries, judge });
+    const lag = new LagMonitor();
+    const checker = new SoakChecker(maximumResponseMs, () => lag.lagMs);
+    const servers = new SoakServers({ upstreams, entries, checker });
     const { platformPort } = await servers.start();
     const processes = Array.from({ length: entries }, (_, index) =>
         new EntryProcess({
@@ -65,20 +65,20 @@
             peersPort: basePort + 3 * index + 2,
             seedPorts: [basePort + 2, basePort + 5],
         }));
-    servers.knowEntries(processes);
+    servers.setEntries(processes);
     try {
         await Promise.all(processes.map(process => process.start()));
-        const load = new SoakCallers({ random: new SeededRandom(seed + 1), entries: processes, judge, callers });
-        const looks = setInterval(() => void lookAtGenerations(processes, judge), generationsMs);
-        const planned = drawFaults(new SeededRandom(seed), seconds * 1000);
-        await new SoakFaults(processes, servers).play(planned);
+        const load = new SoakCallers({ random: new SeededRandom(seed + 1), entries: processes, checker, callers });
+        const generationPolls = setInterval(() => void pollGenerations(processes, checker), generationPollMs);
+        const plannedFaults = generateFaults(new SeededRandom(seed), seconds * 1000);
+        await new FaultInjector(processes, servers).injectAll(plannedFaults);
         await wait(recoveryMs);
-        await load.end();
-        clearInterval(looks);
-        const reads = await Promise.all(processes.map(process => load.reads(process, recoveryReads)));
-        judge.noteRecovery(reads.flat());
-        const violations = judge.finish(number => servers.runsOf(number));
-        return { violations, requests: judge.ended, served: judge.served, faults: planned.length };
+        await load.stop();
+        clearInterval(generationPolls);
+        const reads = await Promise.all(processes.map(process => load.sendReads(process, recoveryReads)));
+        checker.recordRecovery(reads.flat());
+        const violations = checker.finish(number => servers.runCountOf(number));
+        return { violations, requests: checker.ended, served: checker.served, faults: plannedFaults.length };
     }
     finally {
         await Promise.all(processes.map(process => process.stop()));
@@ -88,10 +88,10 @@
     }
 };
 
-const wait = (forMs: number): Promise<void> => new Promise(resolve => setTimeout(resolve, forMs));
+const wait = (durationMs: number): Promise<void> => new Promise(resolve => setTimeout(resolve, durationMs));
 
-/** Asks each instance that runs which generation is in force. */
-const lookAtGenerations = async (processes: readonly EntryProcess[], judge: SoakJudge): Promise<void> => {
+/** Reads the active configuration generation from the metrics of each running instance. */
+const pollGenerations = async (processes: readonly EntryProcess[], checker: SoakChecker): Promise<void> => {
     await Promise.all(
         processes.filter(({ state }) => state === "running").map(async process => {
             const { incarnation, options: { name, operatorsPort } } = process;
@@ -99,11 +99,11 @@
                 const text = await (await fetch(`http://127.0.0.1:${operatorsPort}/metrics`)).text();
                 const generation = /^harrierhitch_configuration_generation (\d+)/m.exec(text)?.[1];
                 if (generation !== undefined && incarnation === process.incarnation) {
-                    judge.noteGeneration(name, incarnation, Number(generation));
+                    checker.recordGeneration(name, incarnation, Number(generation));
                 }
             }
             catch {
-                // It ended, or was paused, in the middle of the look; the next look asks again.
+                // The instance was stopped or paused during the request; the next poll retries.
             }
         }),
     );
--- a/packages/standin/src/upstream-behaviour.ts
+++ b/packages/standin/src/upstream-behaviour.ts
@@ -1,46 +1,47 @@
 /**
- * How a stand-in for an upstream behaves.
+ * The behaviour of a stand-in for an upstream.
  *
  * @packageDocumentation
  */
 
-/** How an upstream behaves; each part can be changed while it runs. */
+/** Behaviour of an upstream; each field can be changed while it runs. */
 export interface UpstreamBehaviour {
-    /** Requests served at the same time. */
+    /** Number of requests that are served concurrently. */
     readonly slots: number;
-    /** Requests that wait for a slot; further ones are shed. */
+    /** Number of requests that may wait for a slot; further requests are shed. */
     readonly queue: number;
-    /** Mean service time; service times are distributed exponentially above half of it. */
+    /** Mean service time in milliseconds; service times are half of it plus an exponentially distributed part. */
     readonly meanServiceMs: number;
-    /** Factor on service times, for sudden slowness. */
+    /** Factor by which service times are multiplied. */
     readonly slowness: number;
-    /** Answers at once with this status instead of serving; 0 serves. */
+    /** Status with which all requests are answered immediately; 0 serves them. */
     readonly failStatus: number;
-    /** Breaks the connection of every request that it has read. */
+    /** Whether the connection is closed without a response after a request has been read. */
     readonly reset: boolean;
-    /** Ends, as a process that crashes, a moment after it began to run a request whose URL contains this; empty never does. */
+    /** A request whose URL contains this text crashes the upstream after its service time; empty for none. */
     readonly endsOn: string;
-    /** Time for which it is gone then. */
+    /** Time from a crash to the restart, in milliseconds. */
     readonly endedMs: number;
-    /** Never answers. */
+    /** Whether requests are never answered. */
     readonly hang: boolean;
-    /** Leaving: sheds new requests and says so. */
+    /** Whether new requests are shed and responses announce the draining state. */
     readonly draining: boolean;
-    /** Turns all requests away and asks for so long a rest, in milliseconds; 0 takes them. */
+    /** Backoff in milliseconds that is requested while all requests are rejected with 503; 0 serves them. */
     readonly restMs: number;
-    /** Requests a second that it says it takes from all instances together; `undefined` names no limit. */
+    /** Announced rate limit in requests per second, for all instances together; `undefined` announces none. */
     readonly limitPerSecond: number | undefined;
-    /** Share of its answers that close their connection, or say things of it that nobody can read. */
+    /** Share of the responses that contain an invalid header and close their connection. */
     readonly chatter: number;
-    /** What it reports as its load; `undefined` is the truth. */
+    /** Number of requests in flight that is reported; `undefined` reports the actual number. */
     readonly reportedInFlight: number | undefined;
-    /** Time for which service is slow after the start, by the factor `coldFactor`. */
+    /** Time after the start within which service times are multiplied by `coldFactor`, in milliseconds. */
     readonly coldMs: number;
+    /** Factor on service times during a cold start. */
     readonly coldFactor: number;
 }
 
-/** A calm upstream with three slots. */
-export const calmBehaviour: UpstreamBehaviour = {
+/** Behaviour of a healthy upstream with three slots. */
+export const defaultUpstreamBehaviour: UpstreamBehaviour = {
     slots: 3,
     queue: 12,
     meanServiceMs: 10,
--- a/packages/standin/src/upstream-standin.ts
+++ b/packages/standin/src/upstream-standin.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in for an upstream: a few slots, a short queue, seeded service times,
- * cold start, shedding, draining, cancellation, and faults that can be switched.
+ * A stand-in for an upstream: slots, a queue, seeded service times, cold start, shedding, draining, cancellation and faults
+ * that can be switched on and off.
  *
  * @packageDocumentation
  */
@@ -8,27 +8,28 @@
 import { type RandomSource, SeededRandom } from "@harrierhitch/core";
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
-import { calmBehaviour, type UpstreamBehaviour } from "./upstream-behaviour.js";
+import { defaultUpstreamBehaviour, type UpstreamBehaviour } from "./upstream-behaviour.js";
 
-/** Path on which the behaviour is read (GET) and changed (POST, JSON). */
+/** Path at which the behaviour is read (GET) and changed (POST, JSON). */
 export const behaviourPath = "/standin/behaviour";
 
-/** Path on which its load is asked for. */
+/** Path of the probe endpoint, which reports the load. */
 export const upstreamProbePath = "/standin/load";
 
-/** What an upstream's answer to a request asks of the instance that sent it. */
-export interface AskedByUpstream {
-    readonly restMs: number;
-    readonly leaving: boolean;
-    /** Requests a second from all instances together; `undefined` where it names no limit. */
+/** What the response to a request announces to the instance that sent it. */
+export interface UpstreamAnnouncement {
+    /** Requested backoff in milliseconds; 0 for none. */
+    readonly backoffMs: number;
+    readonly isDraining: boolean;
+    /** Requests per second that the upstream accepts from all instances together; `undefined` for no limit. */
     readonly limitPerSecond: number | undefined;
 }
 
-/** The asking of an answer that is never given. */
-export const asksNothing: AskedByUpstream = { restMs: 0, leaving: false, limitPerSecond: undefined };
+/** The announcement of a response that is never sent. */
+export const noAnnouncement: UpstreamAnnouncement = { backoffMs: 0, isDraining: false, limitPerSecond: undefined };
 
-/** Headers in words that mean nothing: each costs itself alone. */
-const unreadable: readonly Readonly<Record<string, string>>[] = [
+/** Headers with invalid values; instances ignore the header and use the rest of the response. */
+const invalidHeaders: readonly Readonly<Record<string, string>>[] = [
     { "x-upstream-limit": "-1" },
     { "x-upstream-limit": "some" },
     { "retry-after": "soon" },
@@ -44,67 +45,71 @@
 
 /** Serves requests as an upstream would. */
 export class UpstreamStandin {
-    /** How it behaves now. */
+    /** The current behaviour. */
     behaviour: UpstreamBehaviour;
-    /** Requests that were run, by the value of `idempotency-key` or `x-request-number`. */
+    /** How often each request was run, by the value of `idempotency-key` or `x-request-number`. */
     readonly runs = new Map<string, number>();
-    /** Whether repeatable requests are counted in {@link runs} too. */
+    /** Whether {@link runs} also counts requests other than POST. */
     countsReads = false;
-    /** Requests that were begun since the start. */
+    /** Number of requests whose processing has started. */
     started = 0;
-    /** Requests that have arrived, whatever became of them. */
+    /** Number of requests that have arrived, whether or not they were served. */
     arrived = 0;
     /** Value of `traceparent` in the last request. */
     lastTraceparent = "";
-    /** How often it has ended under a request. */
-    ends = 0;
-    /** Told of each request that arrives, with what its answer asks for. */
-    onArrival: (request: IncomingMessage, asks: AskedByUpstream) => void = () => undefined;
-    /** Requests whose caller gave up before the answer. */
+    /** Number of simulated crashes. */
+    crashes = 0;
+    /** Called for each request that arrives, with what its response announces. */
+    onArrival: (request: IncomingMessage, asks: UpstreamAnnouncement) => void = () => undefined;
+    /** Number of requests whose connection was closed before the response was sent. */
     cancelled = 0;
     private server: Server;
-    private closed = false;
+    private isClosed = false;
     private readonly random: RandomSource;
     private readonly startedAtMs = performance.now();
     private running = 0;
     private waiting: Job[] = [];
 
     /**
-     * @param name - Name, for the answers.
-     * @param behaviour - How it behaves.
+     * @param name - Name that responses contain.
+     * @param behaviour - Initial behaviour; the default for what is absent.
      * @param seed - Seed of the service times.
      */
     constructor(private readonly name: string, behaviour: Partial<UpstreamBehaviour> = {}, seed = 1) {
-        this.behaviour = { ...calmBehaviour, ...behaviour };
+        this.behaviour = { ...defaultUpstreamBehaviour, ...behaviour };
         this.random = new SeededRandom(seed);
         this.server = this.openServer();
     }
 
-    /** Begins to listen; gives the port. */
+    /**
+     * Starts listening.
+     *
+     * @returns The port.
+     */
     async listen(port = 0): Promise<number> {
         await new Promise<void>(resolve => this.server.listen(port, "127.0.0.1", resolve));
         return (this.server.address() as AddressInfo).port;
     }
 
-    /** Stops listening and breaks all connections. */
+    /** Stops listening and closes all connections. */
     async close(): Promise<void> {
-        this.closed = true;
+        this.isClosed = true;
         await this.closeServer();
     }
 
     private openServer(): Server {
-        return createServer({ keepAliveTimeout: 60_000 }, (request, response) => void this.accept(request, response));
+        return createServer({ keepAliveTimeout: 60_000 }, (request, response) => void this.handleRequest(request, response));
     }
 
-    /** Ends, and comes back at the same address knowing nothing of before. */
+    /** Simulates a crash: closes all connections, and listens on the same port again later without its earlier requests. */
     private async crash(): Promise<void> {
         const { port } = this.server.address() as AddressInfo;
-        this.ends += 1;
+        this.crashes += 1;
         this.running = 0;
         this.waiting = [];
         await this.closeServer();
         await wait(this.behaviour.endedMs);
-        if (!this.closed) {
+        if (!this.isClosed) {
             this.server = this.openServer();
             await this.listen(port);
         }
@@ -115,10 +120,10 @@
         await new Promise<void>(resolve => this.server.close(() => resolve()));
     }
 
-    private async accept(request: IncomingMessage, response: ServerResponse): Promise<void> {
+    private async handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
         const body = readBody(request);
         if (request.url?.startsWith(behaviourPath) === true) {
-            await this.control(request, response, body);
+            await this.handleBehaviourRequest(request, response, body);
             return;
         }
         if (request.url === upstreamProbePath) {
@@ -131,9 +136,13 @@
         this.arrived += 1;
         this.lastTraceparent = String(request.headers["traceparent"] ?? "");
         const { slots, queue, draining, failStatus, hang, reset, restMs, limitPerSecond } = this.behaviour;
-        const isAnswered = !reset && failStatus === 0;
-        const asks = { restMs: draining ? 0 : restMs, leaving: draining, limitPerSecond: hang ? undefined : limitPerSecond };
-        this.onArrival(request, isAnswered ? asks : asksNothing);
+        const isSent = !reset && failStatus === 0;
+        const announced = {
+            backoffMs: draining ? 0 : restMs,
+            isDraining: draining,
+            limitPerSecond: hang ? undefined : limitPerSecond,
+        };
+        this.onArrival(request, isSent ? announced : noAnnouncement);
         if (reset) {
             await body;
             request.socket.destroy();
@@ -150,11 +159,11 @@
         }
         else if (!hang) {
             this.waiting.push({ request, response, body });
-            this.next();
+            this.startWaiting();
         }
     }
 
-    private next(): void {
+    private startWaiting(): void {
         while (this.running < this.behaviour.slots) {
             const job = this.waiting.shift();
             if (job === undefined) {
@@ -189,7 +198,7 @@
             const text = JSON.stringify({ upstream: this.name, path: request.url, key, bodyBytes: content.length });
             response.writeHead(200, { ...this.headers(), "content-type": "application/json" }).end(text);
         }
-        this.next();
+        this.startWaiting();
     }
 
     private serviceMs(): number {
@@ -201,17 +210,21 @@
 
     private headers(): Record<string, string | number> {
         const { draining, reportedInFlight, limitPerSecond, chatter } = this.behaviour;
-        const isChatting = this.random.next() < chatter;
+        const isDisturbed = this.random.next() < chatter;
         return {
-            ...(isChatting ? unreadable[Math.floor(this.random.next() * unreadable.length)] : {}),
-            ...(isChatting ? { connection: "close" } : {}),
+            ...(isDisturbed ? invalidHeaders[Math.floor(this.random.next() * invalidHeaders.length)] : {}),
+            ...(isDisturbed ? { connection: "close" } : {}),
             ...(limitPerSecond === undefined ? {} : { "x-upstream-limit": String(limitPerSecond) }),
             "x-upstream-in-flight": reportedInFlight ?? this.running + this.waiting.length,
             ...(draining ? { "x-upstream-state": "draining" } : {}),
         };
     }
 
-    private async control(request: IncomingMessage, response: ServerResponse, body: Promise<Buffer>): Promise<void> {
+    private async handleBehaviourRequest(
+        request: IncomingMessage,
+        response: ServerResponse,
+        body: Promise<Buffer>,
+    ): Promise<void> {
         if (request.method === "POST") {
             this.behaviour = { ...this.behaviour, ...JSON.parse((await body).toString("utf8")) as Partial<UpstreamBehaviour> };
         }
@@ -228,7 +241,7 @@
         }
     }
     catch {
-        // The caller left; whoever waits for the body sees what arrived.
+        // The client disconnected; the incomplete body is returned.
     }
     return Buffer.concat(chunks);
 };
--- a/packages/standin/test/caller-faults.test.ts
+++ b/packages/standin/test/caller-faults.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { after, before, describe, test } from "node:test";
 import { exchange, openCaller } from "./raw-caller.js";
-import { startSystem, type System, until } from "./system.js";
+import { startSystem, type System, waitUntil } from "./system.js";
 
 let system: System;
 
@@ -119,7 +119,7 @@
         `PUT /upload HTTP/1.1\r\n${host}transfer-encoding: chunked\r\n\r\n3\r\nabc\r\nzz\r\n`,
     );
     assert.doesNotMatch(received, /^HTTP\/1.1 200/);
-    await until(() => inFlight() === 0);
+    await waitUntil(() => inFlight() === 0);
     assert.ok(system.upstreams[0]!.started - before <= 1);
 });
 
@@ -163,18 +163,18 @@
             system.upstreams[0]!.behaviour = { ...system.upstreams[0]!.behaviour, meanServiceMs: runs ? 40 : leftServiceMs };
             const socket = openCaller(system.callersPort, text);
             if (name.startsWith("while")) {
-                await until(() => system.upstreams[0]!.started > startedBefore);
+                await waitUntil(() => system.upstreams[0]!.started > startedBefore);
             }
             else {
                 await new Promise(resolve => setTimeout(resolve, 15));
             }
             socket.destroy();
-            await until(() => inFlight() === 0);
+            await waitUntil(() => inFlight() === 0);
             if (runs) {
-                await until(() => system.upstreams[0]!.runs.get("leave-1") === 1);
+                await waitUntil(() => system.upstreams[0]!.runs.get("leave-1") === 1);
             }
             else {
-                await until(() =>
+                await waitUntil(() =>
                     system.upstreams[0]!.cancelled - cancelledBefore === system.upstreams[0]!.started - startedBefore
                 );
             }
@@ -194,11 +194,11 @@
     socket.on("data", data => {
         received += data.toString("latin1");
     });
-    await until(() => received.endsWith("}"));
+    await waitUntil(() => received.endsWith("}"));
     upstream!.behaviour = { ...upstream!.behaviour, hang: false };
-    await until(() => upstream!.cancelled === cancelledBefore + 1);
+    await waitUntil(() => upstream!.cancelled === cancelledBefore + 1);
     socket.write(`GET /read/next HTTP/1.1\r\n${closing}\r\n`);
-    await until(() => socket.closed);
+    await waitUntil(() => socket.closed);
     assert.match(received, /^HTTP\/1.1 504 /);
     assert.match(received, /"path":"\/read\/next"/);
     assert.doesNotMatch(received, /"path":"\/read\/late"/);
--- a/packages/standin/test/fleet-system.test.ts
+++ b/packages/standin/test/fleet-system.test.ts
@@ -4,7 +4,7 @@
 import { OperatorService } from "@harrierhitch/protocol";
 import assert from "node:assert/strict";
 import { after, before, describe, test } from "node:test";
-import { startDaemon, startSystem, type System, until } from "./system.js";
+import { startDaemon, startSystem, type System, waitUntil } from "./system.js";
 
 /** Three entry instances on real sockets; the first belongs to the system. */
 let system: System;
@@ -23,7 +23,7 @@
     ports = [system.ports];
     await startEntry(2);
     await startEntry(3);
-    await until(() =>
+    await waitUntil(() =>
         daemons.every(daemon => daemon.instance.stage === "serving" && daemon.instance.fleet?.members.alive.length === 3)
     );
 });
@@ -64,7 +64,7 @@
     while (stateAt(daemons[0]!) !== "draining") {
         await (await fetch(`http://127.0.0.1:${ports[0]!.callers}/read/x`)).text();
     }
-    await until(() => daemons.every(daemon => stateAt(daemon) === "draining"));
+    await waitUntil(() => daemons.every(daemon => stateAt(daemon) === "draining"));
     const arrivedBefore = system.upstreams[0]!.arrived;
     const answers = await Promise.all(
         Array.from({ length: 9 }, (_, number) => fetch(`http://127.0.0.1:${ports[number % 3]!.callers}/read/x`)),
@@ -78,7 +78,7 @@
     test("cuts off nothing in flight, and turns readiness off at once", async () => {
         system.upstreams[1]!.behaviour = { ...system.upstreams[1]!.behaviour, meanServiceMs: 300 };
         const inFlight = Promise.all(Array.from({ length: 6 }, () => issue(2)));
-        await until(() => daemons[1]!.instance.services.all()[0]!.tracker.inFlight === 6);
+        await waitUntil(() => daemons[1]!.instance.services.all()[0]!.tracker.inFlight === 6);
         const stopped = daemons[1]!.stop();
         assert.equal(daemons[1]!.instance.stage, "stopping");
         assert.deepEqual(await inFlight, [200, 200, 200, 200, 200, 200]);
--- a/packages/standin/test/operators-tls.test.ts
+++ b/packages/standin/test/operators-tls.test.ts
@@ -9,7 +9,7 @@
 import { join } from "node:path";
 import { after, before, describe, test } from "node:test";
 import { PlatformStandin } from "../src/index.js";
-import { startDaemon, until } from "./system.js";
+import { startDaemon, waitUntil } from "./system.js";
 
 const certificates = new URL("../../test/certificates/", import.meta.url);
 const certificate = (name: string): string => new URL(name, certificates).pathname;
@@ -69,7 +69,7 @@
         test(name, async () => {
             const before = await refused();
             await assert.rejects(call());
-            await until(async () => await refused() > before);
+            await waitUntil(async () => await refused() > before);
         });
     });
 
@@ -88,7 +88,7 @@
 test("a new certificate is taken over without a restart", async () => {
     copyFileSync(certificate("stranger.pem"), join(directory, "instance.pem"));
     copyFileSync(certificate("stranger.key"), join(directory, "instance.key"));
-    await until(async () => {
+    await waitUntil(async () => {
         try {
             await createClient(OperatorService, transport(ports.operators, "operator", "stranger-authority")).getStatus({
                 localOnly: true,
--- a/packages/standin/test/pipelined-callers.test.ts
+++ b/packages/standin/test/pipelined-callers.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { after, before, describe, test } from "node:test";
 import { exchange, openCaller } from "./raw-caller.js";
-import { startSystem, type System, until } from "./system.js";
+import { startSystem, type System, waitUntil } from "./system.js";
 
 const host = "host: x\r\n";
 const closing = `${host}connection: close\r\n`;
@@ -34,10 +34,10 @@
         const { arrived, cancelled } = upstream!;
         upstream!.behaviour = { ...upstream!.behaviour, hang: true };
         const socket = openCaller(system.callersPort, read("a") + read("b"));
-        await until(() => upstream!.arrived - arrived === 2);
+        await waitUntil(() => upstream!.arrived - arrived === 2);
         upstream!.behaviour = { ...upstream!.behaviour, hang: false };
         socket.destroy();
-        await until(() => upstream!.cancelled - cancelled === 2);
+        await waitUntil(() => upstream!.cancelled - cancelled === 2);
     });
 
     test("has none of its reads worked on once it has left", async () => {
@@ -45,9 +45,9 @@
         const { arrived, cancelled } = upstream!;
         upstream!.behaviour = { ...upstream!.behaviour, hang: true };
         const socket = openCaller(system.callersPort, read("a") + read("b") + read("c"));
-        await until(() => upstream!.arrived - arrived === 3);
+        await waitUntil(() => upstream!.arrived - arrived === 3);
         socket.destroy();
-        await until(() => upstream!.cancelled - cancelled === 3);
+        await waitUntil(() => upstream!.cancelled - cancelled === 3);
         upstream!.behaviour = { ...upstream!.behaviour, hang: false };
     });
 
@@ -56,7 +56,7 @@
         const arrivedBefore = upstream!.arrived;
         upstream!.behaviour = { ...upstream!.behaviour, hang: true };
         const socket = openCaller(system.callersPort, read("first") + issue("behind-a-read"));
-        await until(() => upstream!.arrived > arrivedBefore);
+        await waitUntil(() => upstream!.arrived > arrivedBefore);
         await fetch(`${system.url}/read/beside`, { signal: AbortSignal.timeout(200) }).catch(() => undefined);
         assert.equal(upstream!.arrived - arrivedBefore, 2);
         socket.destroy();
@@ -71,10 +71,10 @@
     socket.on("data", data => {
         received += data.toString("latin1");
     });
-    await until(() => received.includes("/read/before"));
+    await waitUntil(() => received.includes("/read/before"));
     const stopped = system.daemon.stop();
     socket.write(read("last") + issue("behind-a-close"));
-    await until(() => socket.closed);
+    await waitUntil(() => socket.closed);
     await stopped;
     assert.match(received, /"path":"\/read\/last"/);
     assert.equal(system.upstreams[0]!.runs.get("behind-a-close"), undefined);
--- a/packages/standin/test/platform-faults.test.ts
+++ b/packages/standin/test/platform-faults.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import { PlatformStandin } from "../src/index.js";
-import { startDaemon, startSystem, type System, until } from "./system.js";
+import { startDaemon, startSystem, type System, waitUntil } from "./system.js";
 
 interface PlatformFault {
     readonly name: string;
@@ -40,7 +40,7 @@
             const system = await startSystem({ upstreams: [{}] });
             try {
                 system.platform.publish("configuration", system.document(5));
-                await until(() => system.daemon.instance.generation === 5);
+                await waitUntil(() => system.daemon.instance.generation === 5);
                 await begin(system);
                 await new Promise(resolve => setTimeout(resolve, 100));
                 assert.equal(await ask(system), 200);
@@ -71,7 +71,7 @@
     late.publish("configuration", system.document(1));
     late.publish("instances", "revision = 1\n");
     await late.listen(port);
-    await until(async () => (await fetch(`http://127.0.0.1:${operators}/readyz`)).status === 200);
+    await waitUntil(async () => (await fetch(`http://127.0.0.1:${operators}/readyz`)).status === 200);
     assert.equal((await fetch(`http://127.0.0.1:${callers}/read/x`)).status, 200);
     await Promise.all([daemon.stop(), late.close(), system.stop()]);
 });
--- a/packages/standin/test/quarantine.test.ts
+++ b/packages/standin/test/quarantine.test.ts
@@ -11,7 +11,7 @@
 import assert from "node:assert/strict";
 import { Agent, request } from "node:http";
 import { after, before, test } from "node:test";
-import { startDaemon, startSystem, type System, until } from "./system.js";
+import { startDaemon, startSystem, type System, waitUntil } from "./system.js";
 
 /** What a caller sees. */
 interface Seen {
@@ -50,7 +50,7 @@
     const daemon = startDaemon(system.platformPort, "", `entry-${number}`, "", [system.ports.peers]);
     daemons[number - 1] = daemon;
     ports[number - 1] = await daemon.start();
-    await until(() =>
+    await waitUntil(() =>
         daemons.every(({ instance: { stage, fleet } }) => stage === "serving" && fleet?.members.alive.length === daemons.length)
     );
 };
@@ -70,7 +70,7 @@
         outgoing.once("error", reject).end();
     });
 
-const ends = (): number => system.upstreams.reduce((sum, upstream) => sum + upstream.ends, 0);
+const ends = (): number => system.upstreams.reduce((sum, upstream) => sum + upstream.crashes, 0);
 const pause = (): Promise<void> => new Promise(resolve => setTimeout(resolve, pauseMs));
 
 test("a request under which upstreams end is not sent on for good, at whichever instance it comes again", async () => {
--- a/packages/standin/test/rolling-restart.test.ts
+++ b/packages/standin/test/rolling-restart.test.ts
@@ -1,7 +1,7 @@
 import type { Daemon, DaemonPorts } from "@harrierhitch/daemon";
 import assert from "node:assert/strict";
 import { after, test } from "node:test";
-import { startDaemon, startSystem, until } from "./system.js";
+import { startDaemon, startSystem, waitUntil } from "./system.js";
 
 const settings = "[limits]\nstopDelayMs = 300\nstopTimeoutMs = 5000\n";
 
@@ -15,9 +15,9 @@
         const seedPorts = [...running.values()].map(entry => entry.ports.peers);
         const daemon = startDaemon(system.platformPort, settings, `entry-${number}`, "", seedPorts);
         const ports = await daemon.start();
-        await until(() => daemon.instance.stage === "serving");
+        await waitUntil(() => daemon.instance.stage === "serving");
         running.set(number, { daemon, ports });
-        await until(() =>
+        await waitUntil(() =>
             [...running.values()].every(entry => entry.daemon.instance.fleet?.members.alive.length === running.size)
         );
     };
@@ -55,7 +55,7 @@
     for (const [index, number] of [1, 2, 3].entries()) {
         const { daemon } = running.get(number)!;
         system.platform.publish("configuration", system.document(index + 2));
-        await until(() => [...running.values()].every(entry => entry.daemon.instance.generation === index + 2));
+        await waitUntil(() => [...running.values()].every(entry => entry.daemon.instance.generation === index + 2));
         const stopped = daemon.stop();
         running.delete(number);
         await stopped;
--- a/packages/standin/test/soak-checker.test.ts
+++ b/packages/standin/test/soak-checker.test.ts
@@ -4,79 +4,94 @@
 
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
-import { type SeenAnswer, SoakJudge } from "../src/soak/soak-checker.js";
-import { asksNothing } from "../src/upstream-standin.js";
+import { type ObservedResponse, SoakChecker } from "../src/soak/soak-checker.js";
+import { noAnnouncement } from "../src/upstream-standin.js";
 
-const answer = (change: Partial<SeenAnswer> = {}): SeenAnswer => ({
+const answer = (change: Partial<ObservedResponse> = {}): ObservedResponse => ({
     number: "r1",
     method: "GET",
     entry: "entry-1",
     incarnation: 1,
     status: 200,
     outcome: "ran",
-    isOwn: true,
-    tookMs: 10,
+    isCorrect: true,
+    durationMs: 10,
     duringPlannedStop: false,
     ...change,
 });
 
 interface Case {
     readonly name: string;
-    readonly act: (judge: SoakJudge) => void;
+    readonly act: (judge: SoakChecker) => void;
     /** How often upstreams ran the request. */
     readonly runs?: number;
     readonly broken: readonly string[];
 }
 
 const here = { name: "entry-1", incarnation: 1 };
-const arrivals = (judge: SoakJudge, count: number, atMs: number, entry = here): void =>
-    Array.from({ length: count }).forEach(() => judge.noteArrival("u1", entry, atMs, asksNothing));
+const arrivals = (judge: SoakChecker, count: number, atMs: number, entry = here): void =>
+    Array.from({ length: count }).forEach(() => judge.recordArrival("u1", entry, atMs, noAnnouncement));
 
 /** An upstream that takes one a second tells two instances, and later gets some requests from them. */
-const limited = (judge: SoakJudge, count: number, atMs: number): void => {
-    const asks = { ...asksNothing, limitPerSecond: 1 };
+const limited = (judge: SoakChecker, count: number, atMs: number): void => {
+    const asks = { ...noAnnouncement, limitPerSecond: 1 };
     const there = { name: "entry-2", incarnation: 1 };
-    [here, there].forEach(entry => judge.noteArrival("u1", entry, 0, asks));
-    Array.from({ length: 30 }).forEach(() => judge.noteArrival("u1", here, 1000, asks));
+    [here, there].forEach(entry => judge.recordArrival("u1", entry, 0, asks));
+    Array.from({ length: 30 }).forEach(() => judge.recordArrival("u1", here, 1000, asks));
     Array.from({ length: count }).forEach((_, index) =>
-        judge.noteArrival("u1", index % 2 === 0 ? here : there, atMs + 100 * index, asks)
+        judge.recordArrival("u1", index % 2 === 0 ? here : there, atMs + 100 * index, asks)
     );
 };
 
 const cases: readonly Case[] = [
-    { name: "a whole answer", act: judge => judge.noteAnswer(answer()), runs: 1, broken: [] },
-    { name: "another request's answer", act: judge => judge.noteAnswer(answer({ isOwn: false })), runs: 1, broken: ["whole"] },
-    { name: "an issue that ran twice", act: judge => judge.noteAnswer(answer({ method: "POST" })), runs: 2, broken: ["once"] },
-    { name: "a read that ran twice", act: judge => judge.noteAnswer(answer()), runs: 2, broken: [] },
+    { name: "a whole answer", act: judge => judge.recordResponse(answer()), runs: 1, broken: [] },
+    {
+        name: "another request's answer",
+        act: judge => judge.recordResponse(answer({ isCorrect: false })),
+        runs: 1,
+        broken: ["whole"],
+    },
+    {
+        name: "an issue that ran twice",
+        act: judge => judge.recordResponse(answer({ method: "POST" })),
+        runs: 2,
+        broken: ["once"],
+    },
+    { name: "a read that ran twice", act: judge => judge.recordResponse(answer()), runs: 2, broken: [] },
     {
         name: "a not-run that ran",
-        act: judge => judge.noteAnswer(answer({ status: 503, outcome: "not-run" })),
+        act: judge => judge.recordResponse(answer({ status: 503, outcome: "not-run" })),
         runs: 1,
         broken: ["not-run"],
     },
-    { name: "a true not-run", act: judge => judge.noteAnswer(answer({ status: 503, outcome: "not-run" })), runs: 0, broken: [] },
+    {
+        name: "a true not-run",
+        act: judge => judge.recordResponse(answer({ status: 503, outcome: "not-run" })),
+        runs: 0,
+        broken: [],
+    },
     {
         name: "a request that a planned stop cut off",
-        act: judge => judge.noteAnswer(answer({ status: undefined, duringPlannedStop: true })),
+        act: judge => judge.recordResponse(answer({ status: undefined, duringPlannedStop: true })),
         runs: 1,
         broken: ["stop"],
     },
     {
         name: "a connection that was closed before its request was read",
-        act: judge => judge.noteAnswer(answer({ status: undefined, duringPlannedStop: true })),
+        act: judge => judge.recordResponse(answer({ status: undefined, duringPlannedStop: true })),
         runs: 0,
         broken: [],
     },
     {
         name: "an answer that never came",
-        act: judge => judge.noteAnswer(answer({ tookMs: 9000 })),
+        act: judge => judge.recordResponse(answer({ durationMs: 9000 })),
         runs: 1,
         broken: ["answered"],
     },
     {
         name: "a third request to a resting upstream",
         act: judge => {
-            judge.noteArrival("u1", here, 0, { ...asksNothing, restMs: 2000 });
+            judge.recordArrival("u1", here, 0, { ...noAnnouncement, backoffMs: 2000 });
             arrivals(judge, 9, 400);
             arrivals(judge, 3, 1000);
         },
@@ -85,7 +100,7 @@
     {
         name: "requests on their way, two more, those of others, and those after the rest",
         act: judge => {
-            judge.noteArrival("u1", here, 0, { ...asksNothing, restMs: 2000 });
+            judge.recordArrival("u1", here, 0, { ...noAnnouncement, backoffMs: 2000 });
             arrivals(judge, 9, 500);
             arrivals(judge, 2, 1000);
             arrivals(judge, 9, 1000, { name: "entry-2", incarnation: 1 });
@@ -97,7 +112,7 @@
     {
         name: "a request to an upstream that left",
         act: judge => {
-            judge.noteArrival("u1", here, 0, { ...asksNothing, leaving: true });
+            judge.recordArrival("u1", here, 0, { ...noAnnouncement, isDraining: true });
             arrivals(judge, 1, 2000);
             arrivals(judge, 1, 2001);
         },
@@ -119,29 +134,29 @@
     {
         name: "a configuration that goes back",
         act: judge => {
-            judge.noteGeneration("entry-1", 1, 5);
-            judge.noteGeneration("entry-1", 1, 4);
+            judge.recordGeneration("entry-1", 1, 5);
+            judge.recordGeneration("entry-1", 1, 4);
         },
         broken: ["configuration"],
     },
     {
         name: "an instance that has started again and knows less at first",
         act: judge => {
-            judge.noteGeneration("entry-1", 1, 5);
-            judge.noteGeneration("entry-1", 2, 4);
+            judge.recordGeneration("entry-1", 1, 5);
+            judge.recordGeneration("entry-1", 2, 4);
         },
         broken: [],
     },
     {
         name: "callers that are not served after the last fault",
-        act: judge => judge.noteRecovery([answer(), answer({ status: 503 })]),
+        act: judge => judge.recordRecovery([answer(), answer({ status: 503 })]),
         broken: ["recovery"],
     },
 ];
 
 test("a soak counts its own stalls against nobody", () => {
-    const judge = new SoakJudge(7000, () => 800);
-    judge.noteArrival("u1", here, 0, { ...asksNothing, restMs: 3000 });
+    const judge = new SoakChecker(7000, () => 800);
+    judge.recordArrival("u1", here, 0, { ...noAnnouncement, backoffMs: 3000 });
     arrivals(judge, 9, 1200);
     arrivals(judge, 2, 1400);
     assert.deepEqual(judge.violations, []);
@@ -152,7 +167,7 @@
 describe("a soak finds", () => {
     cases.forEach(({ name, act, runs = 0, broken }) => {
         test(`${broken.length === 0 ? "nothing wrong with " : ""}${name}`, () => {
-            const judge = new SoakJudge(7000);
+            const judge = new SoakChecker(7000);
             act(judge);
             assert.deepEqual(judge.finish(() => runs).map(({ promise }) => promise), broken);
         });
--- a/packages/standin/test/soak.test.ts
+++ b/packages/standin/test/soak.test.ts
@@ -5,7 +5,7 @@
 import { SeededRandom } from "@harrierhitch/core";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { drawFaults, faultKinds } from "../src/soak/fault-schedule.js";
+import { faultKinds, generateFaults } from "../src/soak/fault-schedule.js";
 import { runSoak } from "../src/soak/soak.js";
 
 const seed = 1;
@@ -18,7 +18,7 @@
 });
 
 test("the same seed draws the same faults, and every kind in the end", () => {
-    assert.deepEqual(drawFaults(new SeededRandom(7), 60_000), drawFaults(new SeededRandom(7), 60_000));
-    const kinds = new Set(drawFaults(new SeededRandom(7), 600_000).map(({ kind }) => kind));
+    assert.deepEqual(generateFaults(new SeededRandom(7), 60_000), generateFaults(new SeededRandom(7), 60_000));
+    const kinds = new Set(generateFaults(new SeededRandom(7), 600_000).map(({ kind }) => kind));
     assert.deepEqual([...kinds].sort(), [...faultKinds].sort());
 });
--- a/packages/standin/test/system.ts
+++ b/packages/standin/test/system.ts
@@ -40,13 +40,14 @@
         new UpstreamStandin(`main-${index + 1}`, { meanServiceMs: 1, ...behaviour }, index + 1)
     );
     const ports = await Promise.all(upstreams.map(upstream => upstream.listen()));
-    const document = (generation: number, only: readonly number[] = ports) => configurationText(generation, only, options);
+    const document = (generation: number, upstreamPorts: readonly number[] = ports) =>
+        configurationText(generation, upstreamPorts, options);
     platform.publish("configuration", document(1));
     const platformPort = await platform.listen();
     const daemon = startDaemon(platformPort, options.settings ?? "");
     const started = await daemon.start();
     const { callers, operators } = started;
-    await until(() => daemon.instance.stage === "serving");
+    await waitUntil(() => daemon.instance.stage === "serving");
     return {
         url: `http://127.0.0.1:${callers}`,
         callersPort: callers,
@@ -146,10 +147,10 @@
 const maximumWaitMs = 20_000;
 
 /** Waits until a condition holds. */
-export const until = async (condition: () => boolean | Promise<boolean>): Promise<void> => {
-    const giveUpAtMs = performance.now() + maximumWaitMs;
+export const waitUntil = async (condition: () => boolean | Promise<boolean>): Promise<void> => {
+    const deadlineMs = performance.now() + maximumWaitMs;
     while (!await condition()) {
-        if (performance.now() > giveUpAtMs) {
+        if (performance.now() > deadlineMs) {
             throw new RangeError(`waited in vain for: ${condition.toString()}`);
         }
         await new Promise(resolve => setTimeout(resolve, 5));
--- a/packages/standin/test/traces.test.ts
+++ b/packages/standin/test/traces.test.ts
@@ -2,7 +2,7 @@
 import { createServer } from "node:http";
 import type { AddressInfo } from "node:net";
 import { test } from "node:test";
-import { startSystem, until } from "./system.js";
+import { startSystem, waitUntil } from "./system.js";
 
 interface Span {
     readonly name: string;
@@ -31,7 +31,7 @@
     const traceId = "0af7651916cd43dd8448eb211c80319c";
     const caller = "b7ad6b7169203331";
     await (await fetch(`${system.url}/read/x`, { headers: { traceparent: `00-${traceId}-${caller}-01` } })).text();
-    await until(() => spans.length >= 3);
+    await waitUntil(() => spans.length >= 3);
     await system.stop();
     receiver.close();
     assert.deepEqual(spans.map(span => span.name), ["accept read", "decide 1", "attempt main-1"]);
--- a/packages/standin/test/upstream-faults.test.ts
+++ b/packages/standin/test/upstream-faults.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import { type Script, ScriptedUpstream } from "./scripted-upstream.js";
-import { startSystem, until } from "./system.js";
+import { startSystem, waitUntil } from "./system.js";
 
 const send = (text: string): Script => socket => socket.write(text, "latin1");
 const sendAndClose = (text: string): Script => socket => socket.end(text, "latin1");
@@ -118,7 +118,7 @@
             const system = await startSystem({ upstreams: [{}] });
             try {
                 system.platform.publish("configuration", system.document(2, [await scripted.listen()]));
-                await until(() => system.daemon.instance.generation === 2);
+                await waitUntil(() => system.daemon.instance.generation === 2);
                 assertSeen(await ask(`${system.url}/issue`, "POST"), fault.issue);
                 assert.equal(scripted.requests.filter(text => text.startsWith("POST")).length, fault.issuesSent);
                 assertSeen(await ask(`${system.url}/read/x`, "GET"), fault.read);
